--- a/damsonstream/bench/codec.py
+++ b/damsonstream/bench/codec.py
@@ -92,7 +92,7 @@
         load = dict(pair.split(":", 1) for pair in p.get("healthInfo", "").split(",") if ":" in pair)
         return i.ForwardEnded(
             get=int(p["xid"]),
-            leg=int(p.get("leg", 0)),
+            attempt=int(p.get("leg", 0)),
             cache=p.get("cache", ""),
             result=RESULTS[p["code"]],
             took=tenths(p.get("delaySeen", 0)),
@@ -114,7 +114,7 @@
                 f"patience={a.patience * US} oldness={a.age * US} cache={a.cache} opts={opts}"
             )
         case i.Recall():
-            return f"RECALL {head} xid={a.get} leg={a.leg}"
+            return f"RECALL {head} xid={a.get} leg={a.attempt}"
         case i.Shed():
             return f"BUSY {head} xid={a.get} retryIn={a.come_back * US}"
         case i.Errored():
--- a/damsonstream/demo/verdict.py
+++ b/damsonstream/demo/verdict.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from damsonstream.demo.check import Recorded
-from damsonstream.incident.accounting import Get, Ledger, Leg, Stray
+from damsonstream.incident.accounting import Attempt, Get, Ledger, Stray
 from damsonstream.records import model, store
 
 
@@ -32,7 +32,7 @@
     def sent(self, get: Get, sent: model.Sent) -> None:
         pass
 
-    def came(self, get: Get, leg: Leg) -> None:
+    def came(self, get: Get, attempt: Attempt) -> None:
         pass
 
     def answered(self, get: Get) -> None:
--- a/damsonstream/emulator/baselines.py
+++ b/damsonstream/emulator/baselines.py
@@ -25,7 +25,7 @@
     id: int
     service: i.DeliveryService
     end: int
-    legs: int = 0
+    attempts: int = 0
     ran: int = -1  # when the first forward that may have run went out
     out: set[int] = field(default_factory=set)
 
@@ -36,7 +36,7 @@
         self.gets: dict[int, Get] = {}  # emptied by final answers
         self.entries: dict[str, i.Entry] = {}  # as long as the list
         self.load: dict[str, int] = {}  # forwards out, by cache and source
-        self.legs: dict[tuple[int, int], tuple[str, str]] = {}  # emptied by the end of each forward
+        self.attempts: dict[tuple[int, int], tuple[str, str]] = {}  # emptied by the end of each forward
         self.turn = 0
 
     def handle(self, now: int, event: i.Event) -> list[i.Action]:
@@ -56,7 +56,7 @@
                 return self.ended(now, event)
             case i.ClientLeft():
                 left = self.gets.pop(event.get, None)
-                return [i.Recall(left.id, leg) for leg in sorted(left.out)] if left else []
+                return [i.Recall(left.id, attempt) for attempt in sorted(left.out)] if left else []
             case i.Woken():
                 due = [get for get in self.gets.values() if get.end <= now]
                 return [action for get in due for action in self.give_up(get)]
@@ -86,26 +86,26 @@
         cache, source = self.pick(caches), self.pick(sources)
         for name in (cache, source):
             self.load[name] = self.load.get(name, 0) + 1
-        self.legs[get.id, get.legs] = cache, source
-        get.out.add(get.legs)
-        get.legs += 1
+        self.attempts[get.id, get.attempts] = cache, source
+        get.out.add(get.attempts)
+        get.attempts += 1
         if get.service.effect != "idempotent" and get.ran < 0:
             get.ran = now
         return [i.Forward(get.id, cache, source, 1, 0, 0, self.told.joins, False, False)]
 
     def ended(self, now: int, event: i.ForwardEnded) -> list[i.Action]:
-        for name in self.legs.pop((event.get, event.leg), ()):
+        for name in self.attempts.pop((event.get, event.attempt), ()):
             self.load[name] -= 1
         get = self.gets.get(event.get)
         if get is None:
             return []
-        get.out.discard(event.leg)
+        get.out.discard(event.attempt)
         if event.over:
             del self.gets[event.get]
             return []
         if event.result in ("shed", "lacking", "unreached", "unsent"):
             get.ran = -1
-        fits = get.legs <= FURTHER[self.how] and now < get.end
+        fits = get.attempts <= FURTHER[self.how] and now < get.end
         return self.forward(now, get) if fits and self.may_repeat(now, get) else self.give_up(get)
 
     def may_repeat(self, now: int, get: Get) -> bool:
--- a/damsonstream/emulator/gateway.py
+++ b/damsonstream/emulator/gateway.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Leg:
+class Attempt:
     """A forward that is out."""
 
     number: int
@@ -61,9 +61,9 @@
     token: str
     end: int
     answer: Callable[[str, int], None]  # outcome, ticks after which to come back
-    legs: int = 0
+    attempts: int = 0
     over: bool = False
-    out: dict[int, Leg] = field(default_factory=dict)
+    out: dict[int, Attempt] = field(default_factory=dict)
 
 
 class Gateway:
@@ -117,8 +117,8 @@
         """Gone at once: what it held is no longer its duty, and its connections are reset."""
         self.alive = self.up = False
         for life in self.lives.values():
-            for leg in life.out.values():
-                self.stop(leg)
+            for attempt in life.out.values():
+                self.stop(attempt)
             if not life.over:
                 life.answer("lost", 0)
         self.lives = {}
@@ -260,16 +260,16 @@
     def do(self, life: Life, action: i.Action) -> None:
         match action:
             case i.Forward():
-                number = life.legs
-                life.legs += 1
-                leg = Leg(number, self.play.world.by_uid[action.cache], self.engine.now)
-                life.out[number] = leg
+                number = life.attempts
+                life.attempts += 1
+                attempt = Attempt(number, self.play.world.by_uid[action.cache], self.engine.now)
+                life.out[number] = attempt
                 if life.over:
-                    self.ended(life, leg, "unsent")
+                    self.ended(life, attempt, "unsent")
                 else:
-                    self.send(life, leg, action)
+                    self.send(life, attempt, action)
             case i.Recall():
-                if (out := life.out.get(action.leg)) is not None:
+                if (out := life.out.get(action.attempt)) is not None:
                     self.stop(out)
                     self.ended(life, out, "recalled")
             case i.Shed():
@@ -287,31 +287,32 @@
         if life.over and not life.out:
             self.lives.pop(life.number, None)
 
-    def stop(self, leg: Leg) -> None:
-        if leg.task is not None:
-            leg.task.cancel()
+    def stop(self, attempt: Attempt) -> None:
+        if attempt.task is not None:
+            attempt.task.cancel()
 
     def ended(
-        self, life: Life, leg: Leg, result: str, answer: Answer | None = None, shared: bool = False
+        self, life: Life, attempt: Attempt, result: str, answer: Answer | None = None, shared: bool = False
     ) -> None:
-        if life.out.get(leg.number) is not leg:
+        if life.out.get(attempt.number) is not attempt:
             return  # given up meanwhile
         if result == "returned":
             self.finish(life, "returned", 0)
-        del life.out[leg.number]
+        del life.out[attempt.number]
         note, waited = (answer.note, answer.waited) if answer else (0, 0)
-        load = {"held": float(leg.node.under_way)} if answer else {}
-        self.tell(i.ForwardEnded(life.number, leg.number, leg.node.uid, result, self.engine.now - leg.sent,
+        load = {"held": float(attempt.node.under_way)} if answer else {}
+        took = self.engine.now - attempt.sent
+        self.tell(i.ForwardEnded(life.number, attempt.number, attempt.node.uid, result, took,
                                  waited // MS * MS, note, life.over, shared, load))  # fmt: skip
         self.part(life)
 
     # its connections
 
-    def send(self, life: Life, leg: Leg, forward: i.Forward) -> None:
-        play, node = self.play, leg.node
+    def send(self, life: Life, attempt: Attempt, forward: i.Forward) -> None:
+        play, node = self.play, attempt.node
         way = play.links.between(self.name, node.name, self.engine.now / S)
         if way.broken:
-            return self.after(LINK, lambda: self.ended(life, leg, "unreached"))
+            return self.after(LINK, lambda: self.ended(life, attempt, "unreached"))
         self.use(node.name)
         key = (life.service, life.thing, "0")
         source = forward.source if forward.source != forward.cache else ""
@@ -319,38 +320,38 @@
                           max(MS, life.end - self.engine.now))  # fmt: skip
 
         def arrive() -> None:
-            if life.out.get(leg.number) is not leg:
+            if life.out.get(attempt.number) is not attempt:
                 return
             if node.condition().down:  # the relay took the connection, and finds nobody there
-                return self.after(LINK, lambda: self.ended(life, leg, "broken"))
+                return self.after(LINK, lambda: self.ended(life, attempt, "broken"))
             named = play.world.by_uid.get(source)
             play.seen.forwards.append(
                 Forwarded(self.engine.now / S, self.name, node.name, named.name if named else "")
             )
             play.world.arrived(node, named)
-            leg.task = node.forward(command, answered)
+            attempt.task = node.forward(command, answered)
 
         def answered(answer: Answer) -> None:
             back = LINK + self.play.wait(node.name, self.name)
-            self.after(back, lambda: self.came(life, leg, answer))
+            self.after(back, lambda: self.came(life, attempt, answer))
 
         wait = LINK + play.wait(self.name, node.name)
         self.engine.after(wait, arrive)
 
-    def came(self, life: Life, leg: Leg, answer: Answer) -> None:
-        if leg.node.name in self.used:
-            self.used[leg.node.name] = (self.used[leg.node.name][0], self.engine.now)
-        self.ended(life, leg, answer.result, answer)
+    def came(self, life: Life, attempt: Attempt, answer: Answer) -> None:
+        if attempt.node.name in self.used:
+            self.used[attempt.node.name] = (self.used[attempt.node.name][0], self.engine.now)
+        self.ended(life, attempt, answer.result, answer)
 
     def broke(self, node: str) -> None:
         """Its connection there was reset: one symptom for all that were on it."""
         self.closed(node, self.engine.now)
         shared = False
         for life in list(self.lives.values()):
-            for leg in list(life.out.values()):
-                if leg.node.name == node:
-                    self.stop(leg)
-                    self.ended(life, leg, "broken", shared=shared)
+            for attempt in list(life.out.values()):
+                if attempt.node.name == node:
+                    self.stop(attempt)
+                    self.ended(life, attempt, "broken", shared=shared)
                     shared = True
 
     def use(self, node: str) -> None:
--- a/damsonstream/incident/accounting.py
+++ b/damsonstream/incident/accounting.py
@@ -34,10 +34,10 @@
 
 
 @dataclass(slots=True)
-class Leg:
+class Attempt:
     """A forward of a GET."""
 
-    leg: int
+    attempt: int
     sent: model.Sent
     came: model.Came | None = None
 
@@ -50,14 +50,14 @@
     boot: int
     taken: model.Taken
     service: model.Service | None
-    legs: dict[int, Leg] = field(default_factory=dict)
+    attempts: dict[int, Attempt] = field(default_factory=dict)
     answered: model.Answered | None = None
     left: int = 0  # when its client left, 0: it did not
     story: list[model.AnyRecord] = field(default_factory=list)
 
     @property
     def out(self) -> bool:
-        return any(leg.came is None for leg in self.legs.values())
+        return any(attempt.came is None for attempt in self.attempts.values())
 
 
 Stray = model.Taken | model.Answered | model.Sent  # what belongs to no GET that is open
@@ -68,7 +68,7 @@
 
     def record(self, gateway: str, boot: int, record: model.AnyRecord) -> None: ...
     def sent(self, get: Get, sent: model.Sent) -> None: ...
-    def came(self, get: Get, leg: Leg) -> None: ...
+    def came(self, get: Get, attempt: Attempt) -> None: ...
     def answered(self, get: Get) -> None: ...
     def over(self, get: Get, verdict: str) -> None: ...
     def stray(self, gateway: str, boot: int, record: Stray) -> None: ...
@@ -119,7 +119,7 @@
         boot.records += 1
         if isinstance(record, model.Sent):
             if get := self.open.get(record.get):
-                get.legs[record.leg] = Leg(record.leg, record)
+                get.attempts[record.attempt] = Attempt(record.attempt, record)
                 self.note(get, record)
                 self.listener.sent(get, record)
             elif self.state(record.get) in (ANSWERED, TWICE, LEFT):
@@ -178,10 +178,10 @@
         get = self.open.get(record.get)
         if get is None:
             return
-        if leg := get.legs.get(record.leg):
-            leg.came = record
+        if attempt := get.attempts.get(record.attempt):
+            attempt.came = record
             self.note(get, record)
-            self.listener.came(get, leg)
+            self.listener.came(get, attempt)
         if (get.answered or get.left) and not get.out:
             self.done(get)
 
--- a/damsonstream/incident/gather.py
+++ b/damsonstream/incident/gather.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from damsonstream.incident.accounting import BROKEN, GOOD, Boot, Get, Ledger, Leg, Stray, total
+from damsonstream.incident.accounting import BROKEN, GOOD, Attempt, Boot, Get, Ledger, Stray, total
 from damsonstream.incident.clocks import Clocks, Sighting, Told, align, steps
 from damsonstream.incident.phases import Phase, Watch
 from damsonstream.incident.rules import Finding, Rules
@@ -102,10 +102,10 @@
         if verdict not in GOOD:
             sort, weight = verdict, 0.0
         elif outcome in ("shed", "errored"):
-            sort, weight = outcome, float(len(get.legs))
+            sort, weight = outcome, float(len(get.attempts))
         elif verdict == "left":
-            sort, weight = "left", float(len(get.legs))
-        elif len(get.legs) > 1:
+            sort, weight = "left", float(len(get.attempts))
+        elif len(get.attempts) > 1:
             sort, weight = "several forwards", float(took)
         elif get.service and took > get.service.objective:
             sort, weight = "slow", float(took)
@@ -143,9 +143,9 @@
         self.watch.sent(get, sent)
         self.rules.sent(get, sent)
 
-    def came(self, get: Get, leg: Leg) -> None:
-        self.watch.came(get, leg)
-        self.rules.came(get, leg)
+    def came(self, get: Get, attempt: Attempt) -> None:
+        self.watch.came(get, attempt)
+        self.rules.came(get, attempt)
 
     def answered(self, get: Get) -> None:
         self.watch.answered(get)
--- a/damsonstream/incident/phases.py
+++ b/damsonstream/incident/phases.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from damsonstream.incident.accounting import Boot, Get, Leg, Stray
+from damsonstream.incident.accounting import Attempt, Boot, Get, Stray
 from damsonstream.incident.clocks import Clocks
 from damsonstream.incident.rates import Latencies, Rates
 from damsonstream.records import model
@@ -237,8 +237,8 @@
     def sent(self, get: Get, sent: model.Sent) -> None:
         self.rates.add(self.at(get.gateway, get.boot, sent.at), ("forward", ""))
 
-    def came(self, get: Get, leg: Leg) -> None:
-        came, sent = leg.came, leg.sent
+    def came(self, get: Get, attempt: Attempt) -> None:
+        came, sent = attempt.came, attempt.sent
         assert came is not None
         at = self.at(get.gateway, get.boot, sent.at)
         filled = sent.source != sent.cache
--- a/damsonstream/incident/words.py
+++ b/damsonstream/incident/words.py
@@ -35,14 +35,15 @@
             source = "" if record.source == record.cache else f", to be filled from {record.source}"
             copies = ", which gives only what it holds" if record.copies else ""
             age = f", copy {record.age / 10:.0f} ms old at most" if record.age else ""
-            return f"forward {record.leg} to {record.cache}{source}{copies}{age}"
+            return f"forward {record.attempt} to {record.cache}{source}{copies}{age}"
         case model.Came():
             note = f" ({NOTES[record.note]})" if 0 < record.note < len(NOTES) else ""
             first = f", first byte after {record.first_byte / 10:.0f} ms" if record.first_byte else ""
-            return f"forward {record.leg} {record.result}{note} after {record.took / 10:.0f} ms{first}"
+            return f"forward {record.attempt} {record.result}{note} after {record.took / 10:.0f} ms{first}"
         case model.Answered():
             back = f", to come back after {record.come_back} ms" if record.come_back else ""
-            size = f", {record.size} bytes of forward {record.leg}" if record.outcome == "returned" else ""
+            what = f", {record.size} bytes of forward {record.attempt}"
+            size = what if record.outcome == "returned" else ""
             return f"final answer: {record.outcome}{size}{back}"
         case model.Left():
             return "the client left"
--- a/damsonstream/program/config.py
+++ b/damsonstream/program/config.py
@@ -129,6 +129,15 @@
     }  # fmt: skip
 
 
+def state(path: str) -> tuple[int, int, int]:
+    """Of a file, what changes as it is written or replaced."""
+    try:
+        told = Path(path).stat()
+    except OSError:
+        return 0, 0, 0
+    return told.st_ino, told.st_size, told.st_mtime_ns
+
+
 def restarts(old: Config, new: Config) -> list[str]:
     """What has changed besides the bulletin's address and the events known, which the bulletin tells."""
     names = (field.name for field in fields(Config) if field.name not in ("path", "feed", "last", "known"))
--- a/damsonstream/program/own.py
+++ b/damsonstream/program/own.py
@@ -67,9 +67,10 @@
 
 def serve(told: config.Config, level: str, operator_file: str | None) -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it is taken: it must not end a gateway that starts
-    import anyio  # check-config and the bench need neither
+    import anyio  # check-config and the bench need none of these
 
     from damsonstream.program.serve import Server
+    from damsonstream.transport.loop import LOOP
 
     logs.begin(level)
     recorder, pieces, tiers = None, None, ""
@@ -83,7 +84,7 @@
 
             recorder = recording.begin(told, wanted)
     try:
-        anyio.run(Server(told, recorder, pieces, tiers).run, backend_options={"use_uvloop": True})
+        anyio.run(Server(told, recorder, pieces, tiers).run, backend_options=LOOP)
     except config.Unusable as fault:
         print(fault, file=sys.stderr)
         return 2
--- a/damsonstream/protocol/bulletin.py
+++ b/damsonstream/protocol/bulletin.py
@@ -19,6 +19,7 @@
 GROUP_PURGE = Struct(">HQ")
 STATES = ("active", "leaving", "left")
 STATE_WORDS = {"ready": "active", "draining": "leaving", "gone": "left"}
+GROUPS = 256  # of objects, the protocol's
 MOST = 1 << 20  # bytes of a frame: a list of 38,000 caches
 
 
@@ -53,7 +54,13 @@
     issued_ms: int
 
 
-Event = ListChanged | PurgeTold
+@dataclass(slots=True, frozen=True)
+class Skipped:
+    """A whole list came under a number beyond the next: what the events between said is not known, purges
+    among them."""
+
+
+Event = ListChanged | PurgeTold | Skipped
 
 
 def hello(last: int) -> bytes:
@@ -92,6 +99,7 @@
     def __init__(self, last: int, locations: tuple[str, ...], models: tuple[str, ...]) -> None:
         self.last, self.locations, self.models = last, locations, models
         self.buffer = bytearray()  # less than one frame; emptied as frames are whole
+        self.frames = 0  # whole ones so far, also those that tell nothing new
 
     def feed(self, data: bytes) -> Iterator[Event]:
         self.buffer += data
@@ -104,11 +112,15 @@
                 break
             payload = bytes(memoryview(self.buffer)[at + HEAD.size : at + 4 + length])
             at += 4 + length
+            self.frames += 1
             if kind == 0 or number <= self.last:
                 continue  # nothing new, or told before
-            if number != self.last + 1:
+            if number != self.last + 1 and kind != 1:
                 raise Broken("an event is missing")
             event = self.event(kind, payload)
+            # asked again, it would be told so again: the whole list stands for itself
+            if number != self.last + 1:
+                yield Skipped()
             self.last = number
             yield event
         del self.buffer[:at]
--- a/damsonstream/protocol/fastcgi.py
+++ b/damsonstream/protocol/fastcgi.py
@@ -21,7 +21,6 @@
 MOST_OPEN = 32  # open ids on one connection, the protocol's
 MOST_PARAMS = 16_384  # bytes of parameters of one GET: ten short fields and what a web server adds
 MOST_BODY = 48_000  # bytes that a write brings, the protocol's
-MOST_COMING = 262_144  # bytes of all GETs that come in at once on a connection: five whole writes
 MOST_VALUES = 1024  # of a GET_VALUES query: three short names are defined
 
 
@@ -125,7 +124,7 @@
         self.rest = b""  # less than one record, emptied as records are whole
         self.opening: dict[int, Opening] = {}  # GETs still coming in; emptied as they are whole or aborted
         self.open: set[int] = set()  # GETs taken; emptied by done()
-        self.coming = 0  # bytes held of GETs still coming in
+        self.coming = 0  # bytes held of GETs still coming in: at most the bounds of each times MOST_OPEN
 
     @property
     def half(self) -> bool:
@@ -177,8 +176,6 @@
             return None  # of an id that is over, or a stream that a Responder has no use for
         opening.size += len(content)
         self.coming += len(content)
-        if self.coming > MOST_COMING:
-            raise Broken("oversize")
         if kind == PARAMS and opening.fields is None:
             opening.params += content
             if len(opening.params) > MOST_PARAMS:
--- a/damsonstream/records/model.py
+++ b/damsonstream/records/model.py
@@ -71,7 +71,7 @@
     """A forward that went out."""
 
     get: int
-    leg: int
+    attempt: int
     cache: str
     source: str  # the cache itself: nothing is filled
     age: int  # oldest copy that will do, 0: the fresh time
@@ -82,7 +82,7 @@
     """The end of a forward."""
 
     get: int
-    leg: int
+    attempt: int
     cache: str
     result: str
     note: int
@@ -99,7 +99,7 @@
     outcome: str  # returned, shed or errored
     come_back: int  # milliseconds
     size: int  # bytes
-    leg: int  # the forward that brought it, -1: none
+    attempt: int  # the forward that brought it, -1: none
 
 
 class Turned(Record, frozen=True, tag=7):
--- a/damsonstream/records/recorder.py
+++ b/damsonstream/records/recorder.py
@@ -51,16 +51,16 @@
         told = ident.decode("latin-1")
         self.write(model.Taken(self.at(now), number, told, service, thing, group, left, repeated))
 
-    def sent(self, now: int, number: int, leg: int, forward: i.Forward) -> None:
-        self.write(model.Sent(self.at(now), number, leg, forward.cache, forward.source, forward.age,
+    def sent(self, now: int, number: int, attempt: int, forward: i.Forward) -> None:
+        self.write(model.Sent(self.at(now), number, attempt, forward.cache, forward.source, forward.age,
                               forward.copies))  # fmt: skip
 
     def came(self, now: int, event: i.ForwardEnded, stamp: int) -> None:
-        self.write(model.Came(self.at(now), event.get, event.leg, event.cache, event.result, event.note,
+        self.write(model.Came(self.at(now), event.get, event.attempt, event.cache, event.result, event.note,
                               event.took, event.first_byte, event.shared, stamp))  # fmt: skip
 
-    def final(self, now: int, number: int, outcome: str, come_back: int, size: int, leg: int) -> None:
-        self.write(model.Answered(self.at(now), number, outcome, come_back, size, leg))
+    def final(self, now: int, number: int, outcome: str, come_back: int, size: int, attempt: int) -> None:
+        self.write(model.Answered(self.at(now), number, outcome, come_back, size, attempt))
 
     def left(self, now: int, number: int) -> None:
         self.write(model.Left(self.at(now), number))
@@ -99,6 +99,8 @@
         if isinstance(event, bulletin.PurgeTold):
             self.write(model.Purge(at, number, event.thing, event.group, event.issued_ms * TENTHS))
             return
+        if isinstance(event, bulletin.Skipped):
+            return  # what it stands for was not told; the list that follows it is written
         lines = [
             model.Line(e.cache, e.location, e.state, e.units, e.model, e.started_ms * TENTHS)
             for e in event.entries
--- a/damsonstream/replay/alone.py
+++ b/damsonstream/replay/alone.py
@@ -105,7 +105,7 @@
         self.events: list[tuple[int, int, Any]] = []
         self.counts, self.latency = Counts(), histogram()
         self.taken: dict[int, tuple[int, Wish]] = {}  # open GETs; emptied as they end
-        self.legs: dict[int, int] = {}
+        self.attempts: dict[int, int] = {}
         self.out: dict[tuple[int, int], str] = {}  # forwards that are out, and where
         self.shelves = {f"c{n + 1}": Shelf(setting.cache_bytes) for n in range(setting.caches)}
         self.hubs = {f"p{n + 1}": Shelf(setting.hub_bytes) for n in range(setting.hubs)}
@@ -125,7 +125,7 @@
             self.until(when)
             self.now = max(self.now, when)
             self.taken[wish.place] = (self.now, wish)
-            self.legs[wish.place] = 0
+            self.attempts[wish.place] = 0
             service = 1 if wish.tokened else 0
             left = int(self.setting.patience * S)
             self.tell(i.GetTaken(wish.place, left, service, wish.thing, int(wish.thing, 16) % 64, 0.0, False))
@@ -142,12 +142,12 @@
             elif (what[0], what[1]) in self.out:
                 self.ended(*what)
 
-    def ended(self, get: int, leg: int, result: str, took: int, first: int, note: int) -> None:
-        cache = self.out.pop((get, leg))
+    def ended(self, get: int, attempt: int, result: str, took: int, first: int, note: int) -> None:
+        cache = self.out.pop((get, attempt))
         good = result == "returned"
         if good and get in self.taken:
             self.finish(get, "returned")
-        self.tell(i.ForwardEnded(get, leg, cache, result, took, first, note, good))
+        self.tell(i.ForwardEnded(get, attempt, cache, result, took, first, note, good))
 
     def finish(self, get: int, outcome: str) -> None:
         entry = self.taken.pop(get, None)
@@ -166,8 +166,8 @@
                 case i.Forward():
                     self.forward(action)
                 case i.Recall():
-                    if (action.get, action.leg) in self.out:
-                        self.at(self.now, (action.get, action.leg, "recalled", 0, 0, 0))
+                    if (action.get, action.attempt) in self.out:
+                        self.at(self.now, (action.get, action.attempt, "recalled", 0, 0, 0))
                 case i.Shed():
                     self.finish(action.get, "shed")
                 case i.Errored():
@@ -185,25 +185,25 @@
 
     def forward(self, action: i.Forward) -> None:
         get, counts = action.get, self.counts
-        leg, self.legs[get] = self.legs[get], self.legs[get] + 1
+        attempt, self.attempts[get] = self.attempts[get], self.attempts[get] + 1
         counts.forwards += 1
-        self.out[get, leg] = action.cache
+        self.out[get, attempt] = action.cache
         wish = self.taken[get][1] if get in self.taken else None
         if wish is None:
-            return self.at(self.now, (get, leg, "unsent", 0, 0, 0))
+            return self.at(self.now, (get, attempt, "unsent", 0, 0, 0))
         key, shelf = (wish.service, wish.thing, "0"), self.shelves.get(action.cache)
         if shelf is not None and shelf.find(key, self.now, 0) is not None:
             counts.hits += 1
-            return self.at(self.now + HIT, (get, leg, "returned", HIT, 0, 1))
+            return self.at(self.now + HIT, (get, attempt, "returned", HIT, 0, 1))
         if action.source == action.cache:
-            return self.at(self.now + HIT, (get, leg, "lacking", HIT, 0, 0))
+            return self.at(self.now + HIT, (get, attempt, "lacking", HIT, 0, 0))
         copy = Copy(self.now, max(1, wish.size), 0)
         hub = self.hubs.get(action.source)
         if hub is not None and hub.find(key, self.now, 0) is not None:
             first, note = FILL + self.slow(action.source), 2
         elif hub is not None and action.copies:
             first = FILL + self.slow(action.source)
-            return self.at(self.now + first, (get, leg, "lacking", first, 0, 8))
+            return self.at(self.now + first, (get, attempt, "lacking", first, 0, 8))
         else:
             first, note = (
                 BEHIND + self.slow(action.source) + (self.slow("o") if action.source != "o" else 0),
@@ -214,7 +214,7 @@
         counts.fills[action.source if note == 2 else "o"] += 1
         if shelf is not None and not wish.tokened:
             shelf.keep(key, copy)
-        return self.at(self.now + first + HIT, (get, leg, "returned", first + HIT, first, note))
+        return self.at(self.now + first + HIT, (get, attempt, "returned", first + HIT, first, note))
 
     def told(self) -> dict[str, Any]:
         counts = self.counts
--- a/damsonstream/routing/gateway.py
+++ b/damsonstream/routing/gateway.py
@@ -75,11 +75,11 @@
         repeated: bool,
     ) -> None: ...  # fmt: skip
 
-    def sent(self, now: int, number: int, leg: int, forward: i.Forward) -> None: ...
+    def sent(self, now: int, number: int, attempt: int, forward: i.Forward) -> None: ...
 
     def came(self, now: int, event: i.ForwardEnded, stamp: int) -> None: ...
 
-    def final(self, now: int, number: int, outcome: str, come_back: int, size: int, leg: int) -> None: ...
+    def final(self, now: int, number: int, outcome: str, come_back: int, size: int, attempt: int) -> None: ...
 
     def left(self, now: int, number: int) -> None: ...
 
@@ -98,7 +98,8 @@
         self.timer: asyncio.TimerHandle | None = None  # one, for the first of the wakes
         self.armed = 0
         self.numbers = 0
-        self.tell(i.Started(seed, footprint, fleet, tiers))
+        self.latest = 0  # clock time by which all is answered, 0: the process is not ending
+        self.tell(i.Started(seed, footprint, fleet, tiers, asks=True))
 
     def open(self, inbox: Inbox[i.Action]) -> int:
         """A number for a GET, under which its task is found from now on."""
@@ -127,6 +128,16 @@
                 case i.AskForList():
                     pass  # the bulletin pushes
 
+    def still(self, get: int, attempt: int) -> int:
+        """Asked as an attempt's first byte is to be written: the oldest copy that will do now, 0: the fresh
+        time, -1: it may not go any more."""
+        return self.router.still(self.clock.now(), get, attempt)
+
+    def stop(self, within: int) -> None:
+        """The process ends: what is open, and what still comes, has its answer by then."""
+        self.latest = self.clock.now() + within
+        self.tell(i.Stopping(within))
+
     def told(self, event: bulletin.Event) -> None:
         """News of the bulletin, in the router's words."""
         match event:
@@ -139,6 +150,9 @@
                 self.tell(i.ListTold("full" if event.whole else "changes", entries))
             case bulletin.PurgeTold():
                 self.tell(i.Purged(event.thing, event.group, self.clock.age(event.issued_ms)))
+            case bulletin.Skipped():  # any object may have been purged just now
+                for group in range(bulletin.GROUPS):
+                    self.tell(i.Purged("", group, 0))
 
     def keep_time(self) -> None:
         """Wakes the router when it asked to be woken, from now on."""
--- a/damsonstream/routing/life.py
+++ b/damsonstream/routing/handler.py
@@ -1,8 +1,8 @@
-"""The life of one GET, top to bottom in one task, from being taken to its final answer.
+"""One GET, top to bottom in one task, from being taken to its final answer.
 
-How it is called: `Lives(gateway, send).begin(get, answer)`; `answer` is called once, unless the client has
-left (`get.left()` tells). The router is asked at each point of choice through `gateway.tell`; nothing is
-decided here.
+How it is called: `RequestHandlers(gateway, send).begin(get, answer)`; `answer` is called once, unless the
+client has left (`get.left()` tells). The router is asked at each point of choice through `gateway.tell`;
+nothing is decided here.
 """
 
 from __future__ import annotations
@@ -21,6 +21,10 @@
 from damsonstream.routing.gateway import TENTHS, Gateway, Inbox
 
 log = logging.getLogger(__name__)
+# Tenths of a millisecond after a GET's time in which its forwards are still told of: a cache was asked to
+# wait for that time. Guards against tables that grow where forwards may not be recalled and a cache stays
+# silent.
+UNTOLD = 1000 * TENTHS
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,21 +32,24 @@
     """The client has gone, or no longer waits."""
 
 
-class Leg(Protocol):
+class Attempt(Protocol):
     """A forward that is out, as the transport holds it."""
 
-    def stop(self) -> None: ...
+    def stop(self, tell: bool = True) -> None:
+        """Gives it up; `tell`: the cache too."""
 
 
 Ending = resp.Answer | resp.Lost
+# as of the moment in which its first byte is written; None: not any more
+Command = Callable[[], bytes | None]
 Sender = Callable[
-    [str, bytes, bytes, Callable[[Ending], None]], Leg
+    [str, bytes, Command, Callable[[Ending], None]], Attempt
 ]  # cache, ident, command, told of its end
 
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    leg: int
+    attempt: int
     ending: Ending
 
 
@@ -56,7 +63,7 @@
     cache: str
     sent: int
     patience: int  # clock time at which it expires, 0: with the GET
-    handle: Leg
+    handle: Attempt
 
 
 @dataclass(slots=True)
@@ -72,8 +79,10 @@
     same: bytes  # the fields that go on unchanged, ready for the cache's wire
     body: bytes
     inbox: Inbox[Step] = field(default_factory=Inbox)
+    gone: bool = False  # its client: known at once, also while what was decided before waits for its task
 
     def left(self) -> None:
+        self.gone = True
         self.inbox.put(Left())
 
 
@@ -90,7 +99,7 @@
 Job = tuple[Get, Callable[[Final], None]]
 
 
-class Lives:
+class RequestHandlers:
     """The tasks of GETs. A task that has lived one GET waits for the next: to start one of anyio's for each
     took a sixth of the core at 2,000 GETs a second."""
 
@@ -112,7 +121,7 @@
 
     async def work(self, job: Job) -> None:
         while True:
-            await live(self.gateway, self.send, *job)
+            await handle(self.gateway, self.send, *job)
             self.idents.discard(job[0].ident)
             if len(self.idle) >= self.IDLE:
                 return
@@ -121,92 +130,102 @@
             job = await waiter
 
 
-async def live(gateway: Gateway, send: Sender, get: Get, answer: Callable[[Final], None]) -> None:
-    clock, inbox, outs, legs, over = gateway.clock, get.inbox, dict[int, Out](), 0, False
+async def handle(gateway: Gateway, send: Sender, get: Get, answer: Callable[[Final], None]) -> None:
+    clock, inbox, outs, attempts, over = gateway.clock, get.inbox, dict[int, Out](), 0, False
     patient = False  # whether a forward has a time of its own
     end = clock.now() + get.left_ms * TENTHS
+    if gateway.latest:
+        end = min(end, gateway.latest)
     number, seen = gateway.open(inbox), gateway.observer  # type: ignore[arg-type]
 
-    def ended(leg: int, ending: Ending, final: bool) -> None:
-        out = outs.pop(leg)
+    def ended(attempt: int, ending: Ending, final: bool) -> None:
+        out = outs.pop(attempt)
         now, stamp = clock.now(), 0
         took = now - out.sent
         if isinstance(ending, resp.Lost):
-            event = i.ForwardEnded(number, leg, out.cache, ending.result, took, 0, 0, final, ending.shared)
+            event = i.ForwardEnded(number, attempt, out.cache, ending.result, took, 0, 0, final,
+                                   ending.shared)  # fmt: skip
         else:
-            event = i.ForwardEnded(number, leg, out.cache, ending.result, took, ending.waited_ms * TENTHS,
+            event = i.ForwardEnded(number, attempt, out.cache, ending.result, took, ending.waited_ms * TENTHS,
                                    ending.note, final, False, ending.load)  # fmt: skip
             stamp = ending.stamp
         if seen is not None:
             seen.came(now, event, stamp)
         gateway.tell(event)
 
-    def finish(final: Final, leg: int = -1) -> None:
+    def finish(final: Final, attempt: int = -1) -> None:
         nonlocal over
         if not over:
             over = True
             answer(final)
             if seen is not None:
                 size = len(final.body)
-                seen.final(clock.now(), number, final.outcome, final.come_back_ms, size, leg)
+                seen.final(clock.now(), number, final.outcome, final.come_back_ms, size, attempt)
 
     try:
         if seen is not None:
             seen.opened(clock.now(), number, get.ident, get.service, get.thing, get.group,
                         get.left_ms * TENTHS, get.repeated)  # fmt: skip
-        gateway.tell(
-            i.GetTaken(number, get.left_ms * TENTHS, get.service, get.thing, get.group, 0.0, get.repeated)
-        )
+        left = max(1, end - clock.now())
+        gateway.tell(i.GetTaken(number, left, get.service, get.thing, get.group, 0.0, get.repeated))
         while not over or outs or inbox.steps:
-            if patient:
-                expiry = min((out.patience for out in outs.values() if out.patience), default=end)
+            if patient or over:  # once over, what a cache never tells is not waited for without end
+                expiry = min((out.patience for out in outs.values() if out.patience), default=end + UNTOLD)
                 with anyio.move_on_after((expiry - clock.now()) / (1000 * TENTHS)) as waiting:
                     step = await inbox.next()
                 if waiting.cancelled_caught:
-                    for leg in [leg for leg, out in outs.items() if 0 < out.patience <= clock.now()]:
-                        outs[leg].handle.stop()
-                        ended(leg, resp.Lost("expired"), over)
+                    for attempt in [n for n, out in outs.items() if (out.patience or expiry) <= clock.now()]:
+                        outs[attempt].handle.stop(outs[attempt].patience > 0)
+                        ended(attempt, resp.Lost("expired"), over)
                     continue
             else:
                 step = await inbox.next()
             match step:
                 case i.Forward():
-                    leg, now = legs, clock.now()
-                    legs += 1
+                    attempt, now = attempts, clock.now()
+                    attempts += 1
                     if over:  # decided while the answer waited for this task: nothing goes out after it
-                        outs[leg] = Out(step.cache, now, 0, NOT_OUT)
-                        ended(leg, resp.Lost("unsent"), True)
+                        outs[attempt] = Out(step.cache, now, 0, NOT_OUT)
+                        ended(attempt, resp.Lost("unsent"), True)
                         continue
                     patient |= step.patience > 0
                     wait = min(end, now + step.patience) if step.patience else end
-                    command = resp.forward(
-                        get.ident, get.same, get.body,
-                        wait_ms=max(1, (wait - now) // TENTHS),
-                        source=step.source if step.source != step.cache else "",
-                        rank=step.rank, age_ms=max(1, step.age // TENTHS) if step.age else 0,
-                        join=step.join, renew=step.renew, copies=step.copies,
-                    )  # fmt: skip
 
-                    def at_end(ending: Ending, leg: int = leg) -> None:
-                        inbox.put(Ended(leg, ending))
+                    def command(
+                        attempt: int = attempt, step: i.Forward = step, wait: int = wait
+                    ) -> bytes | None:
+                        now = clock.now()
+                        age = -1 if get.gone or now >= wait else gateway.still(number, attempt)
+                        if age < 0:  # also where the GET is over: the router knows it no more
+                            return None
+                        return resp.forward(
+                            get.ident, get.same, get.body,
+                            wait_ms=max(1, (wait - now) // TENTHS),
+                            source=step.source if step.source != step.cache else "",
+                            rank=step.rank, age_ms=max(1, age // TENTHS) if age else 0,
+                            join=step.join, renew=step.renew, copies=step.copies,
+                        )  # fmt: skip
+
+                    def at_end(ending: Ending, attempt: int = attempt) -> None:
+                        inbox.put(Ended(attempt, ending))
 
                     out = Out(step.cache, now, now + step.patience if step.patience else 0, NOT_OUT)
-                    outs[leg] = out
+                    outs[attempt] = out
                     if seen is not None:
-                        seen.sent(now, number, leg, step)
+                        seen.sent(now, number, attempt, step)
                     out.handle = send(step.cache, get.ident, command, at_end)
                 case Ended():
-                    if step.leg not in outs:
+                    if step.attempt not in outs:
                         continue  # given up meanwhile
                     good = isinstance(step.ending, resp.Answer) and step.ending.result == "returned"
                     if good and not over:
                         assert isinstance(step.ending, resp.Answer)
-                        finish(Final("returned", step.ending.body, step.ending.same), step.leg)
-                    ended(step.leg, step.ending, over)
+                        finish(Final("returned", step.ending.body, step.ending.same), step.attempt)
+                    ended(step.attempt, step.ending, over)
                 case i.Recall():
-                    if step.leg in outs:
-                        outs[step.leg].handle.stop()
-                        ended(step.leg, resp.Lost("recalled"), over)
+                    if step.attempt in outs:
+                        outs[step.attempt].handle.stop()
+                        ended(step.attempt, resp.Lost("recalled"), over)
                 case i.Shed():
                     finish(Final("shed", come_back_ms=step.come_back // TENTHS))
                 case i.Errored():
@@ -218,7 +237,7 @@
                             seen.left(clock.now(), number)
                         gateway.tell(i.ClientLeft(number))
     except Exception:
-        log.exception("life", extra={"get": get.ident})
+        log.exception("handler", extra={"get": get.ident})
         finish(Final("errored"))
     finally:
         gateway.close(number)
@@ -227,7 +246,7 @@
 
 
 class NotOut:
-    def stop(self) -> None:
+    def stop(self, tell: bool = True) -> None:
         pass
 
 
--- a/damsonstream/routing/interface.py
+++ b/damsonstream/routing/interface.py
@@ -132,6 +132,7 @@
     footprint: Footprint
     fleet: Fleet | None = None  # None: it decides alone
     tiers: Tiers | None = None  # None: any parent in hash order, then the origin
+    asks: bool = False  # forwards may wait: Router.still is asked as one begins; else each begins at once
 
 
 @dataclass(slots=True, frozen=True)
@@ -166,13 +167,13 @@
 @dataclass(slots=True, frozen=True)
 class AnswerStarted:
     get: int
-    leg: int
+    attempt: int
 
 
 @dataclass(slots=True, frozen=True)
 class ForwardEnded:
     get: int
-    leg: int
+    attempt: int
     cache: str
     result: str  # returned, errored, shed, expired, unreached, broken, recalled, unsent or lacking
     took: int
@@ -195,12 +196,22 @@
     what: str
 
 
+@dataclass(slots=True, frozen=True)
+class Stopping:
+    """The process ends: each open GET has its final answer within this time."""
+
+    within: int
+
+
 @dataclass(slots=True, frozen=True)
 class Woken:
     pass
 
 
-Event = Started | ListTold | GetTaken | Purged | ClientLeft | AnswerStarted | ForwardEnded | PeersTold | Woken
+Event = (
+    Started | ListTold | GetTaken | Purged | ClientLeft | AnswerStarted | ForwardEnded | PeersTold | Stopping
+    | Woken
+)  # fmt: skip
 
 
 @dataclass(slots=True, frozen=True)
@@ -219,7 +230,7 @@
 @dataclass(slots=True, frozen=True)
 class Recall:
     get: int
-    leg: int
+    attempt: int
 
 
 @dataclass(slots=True, frozen=True)
--- a/damsonstream/routing/router.py
+++ b/damsonstream/routing/router.py
@@ -16,7 +16,7 @@
 from damsonstream.routing import interface as i
 
 MASK, MS, S = (1 << 64) - 1, 10, 10_000
-END, LINE, ASK = -1, -2, -3  # what is due besides a look at a leg
+END, QUEUE, ASK = -1, -2, -3  # what is due besides a look at an attempt
 
 
 class Chance:
@@ -43,12 +43,10 @@
 
 
 WINDOW, BUCKETS = 3 * S, 100  # 10 s in the design: earlier good fills weigh too long (docs/design.md)
-LEAST = 5  # 20 in the design: a gateway sees a few fills a second at each source
-SHARE = 0.5  # the design's
+LEAST, SHARE = 5, 0.5  # 20 in the design, as a gateway sees a few fills a second at each source; the design's
 COOL_DOWN, LONGEST = 5 * S, 5 * S  # the design's starts, also of the cap
 JITTER = 0.25  # up to so much on top, so that gateways do not try in step
-SPACING = S // 2  # between trials, the design's
-MAJORITY = 2  # of three trials, the design's
+SPACING, MAJORITY = S // 2, 2  # between trials; of three of them: the design's
 THIN, DOUBLES = 0.25, 20 * S  # least share of a thinned one, and how soon it doubles; level to half of it
 
 
@@ -168,9 +166,9 @@
     group: int
     size: int  # told sending time, 0: not told
     end: int
-    density: float  # revenue for a unit of sending time: in a line, the most goes first
+    density: float  # revenue for a unit of sending time: in the queue, the most goes first
     luck: float  # drawn as it came: the unlucky are left out while only a part fits
-    legs: int = 0
+    attempts: int = 0
     out: dict[int, Out] = field(default_factory=dict)
     avoid: set[Node] = field(default_factory=set)
     ran: tuple[int, Node] | None = None  # first forward that may have run
@@ -185,7 +183,7 @@
     """A forward that is out."""
 
     get: Get
-    leg: int
+    attempt: int
     cache: Node
     source: Node  # the cache itself: nothing is filled
     sent: int
@@ -219,6 +217,10 @@
                 for node in self.nodes.values():
                     if node.known == event.source and (event.what != "dead" or self.spared(node)):
                         self.changed(node, node.breaker.told(now, event.what))
+            case i.Stopping():
+                for one in self.gets.values():
+                    one.end = min(one.end, now + event.within)
+                    heappush(self.due, (one.end, one.id, END))
             case i.Purged():
                 key = event.thing or event.group
                 self.purges[key] = max(self.purges.get(key, 0), now - event.age)
@@ -227,30 +229,31 @@
                     self.close(get)
             case i.AnswerStarted():
                 if get := self.gets.pop(event.get, None):  # it is the client's now
-                    self.recall(get, event.leg)
-        self.run_due()
+                    self.recall(get, event.attempt)
+        self.run_due(isinstance(event, i.Woken))
         return self.actions
 
     def start(self, event: i.Started) -> None:
         self.told, self.chance, self.fleet = event.footprint, Chance(event.seed), event.fleet
-        self.tiers = event.tiers
+        self.tiers, self.begins_later, self.noted = event.tiers, event.asks, event.footprint.notes == "all"
         self.services = [Service(service) for service in self.told.services]
         self.nodes: dict[str, Node] = {}  # as long as the list, and the forwards still out
         self.caches, self.parents = tuple[Node, ...](), tuple[Node, ...]()
         self.origin: Node | None = None
         self.gets: dict[int, Get] = {}  # emptied by final answers
         self.outs: dict[tuple[int, int], Out] = {}  # emptied by the end of each forward
-        self.due: list[tuple[int, int, int]] = []  # when, GET, leg (or END, LINE, ASK); emptied by time
+        self.due: list[tuple[int, int, int]] = []  # when, GET, attempt (or END, QUEUE, ASK); emptied by time
         self.armed, self.swept, self.asks, self.sized = -1, 0, 0, self.told.weights in ("nominal", "rough")
-        self.line: list[tuple[bool, float, int, int]] = []  # further, -density, since, GET
+        self.queue: list[tuple[bool, float, int, int]] = []  # further, -density, since, GET
         self.purges: dict[str | int, int] = {}  # object or group: when; emptied when copies have settled
         self.link, self.density = 1.0, 0.0  # link in, 1: just full; usual revenue for a unit of sending time
         self.link_at = 0  # when the link was told or learnt last
         self.press, self.press_at = 1.0, 0  # how far the origin is behind, 1: not; when that was learnt last
+        self.refused: Node | None = None  # the parent that refused last
         self.stock = max(2.0, 20 / self.told.location_gateways)  # each gateway's part of a small stock
-        self.spare = self.stock / 2  # further forwards that may still go
+        self.retry_budget = self.stock / 2  # further forwards that may still go
         self.ample = 0.6 / max(2, self.told.location_gateways)  # room for what spills
-        self.brim = 0.65 if self.told.joins else 0.8  # unjoined, each GET that spills costs a fill of its own
+        self.high_watermark = 0.65 if self.told.joins else 0.8  # unjoined, each spill costs a fill
         self.actions += [i.AskForList()] * self.told.ask_for_list
 
     def list_told(self, event: i.ListTold) -> None:
@@ -295,12 +298,12 @@
         self.density += 0.02 * (density - self.density)
         end, known = self.now + event.left - self.told.tick, (digest(event.thing), event.thing, event.group)
         get = self.gets[event.get] = Get(event.get, service, *known, size, end, density, self.chance.draw())
-        self.spare = min(self.stock, self.spare + 0.2)  # a fifth of the GETs, and the stock
+        self.retry_budget = min(self.stock, self.retry_budget + 0.2)  # a fifth of the GETs, and the stock
         heappush(self.due, (get.end, get.id, END))  # one tick before the client leaves, never late
         self.dispatch(get)
 
     def dispatch(self, get: Get) -> None:
-        """First forward or a further one: goes out, is held in line, or the GET is given up."""
+        """First forward or a further one: goes out, is held in the queue, or the GET is given up."""
         cache = self.pick_cache(get) if self.may_forward(get) else None
         if cache is None:
             self.give_up(get)
@@ -313,12 +316,12 @@
         get.wants = wants
         if get.held < 0:
             get.held = self.now
-            heappush(self.due, (min(self.now + get.service.hold, get.end), get.id, LINE))
-        self.line.append((get.legs > 0, -get.density, get.held, get.id))
+            heappush(self.due, (min(self.now + get.service.hold, get.end), get.id, QUEUE))
+        self.queue.append((get.attempts > 0, -get.density, get.held, get.id))
 
     def redispatch(self, sweep: bool = False) -> None:
         """Held GETs look for room again, in order; between sweeps, only those there may be room for."""
-        waiting, self.line = sorted(self.line), []
+        waiting, self.queue = sorted(self.queue), []
         well = [n for n in self.caches if n.breaker.state == "Closed" and n.breaker.share >= 1]
         spill = bool(waiting) and any(self.full(n) < self.ample for n in well)
         for entry in waiting:
@@ -327,7 +330,7 @@
                 if sweep or node is None or (spill and node.role == "cache") or not self.shut(node, get):
                     self.dispatch(get)
                 else:
-                    self.line.append(entry)
+                    self.queue.append(entry)
 
     def forward(self, get: Get, cache: Node) -> None:
         now, told = self.now, get.service.told
@@ -350,25 +353,38 @@
             while node.spent[0][0] < now - 3 * S:
                 node.spent.popleft()
         paid = self.tiers.sent(now, cache.name, source.name) if self.tiers and source is not cache else ""
-        out = Out(get, get.legs, cache, source, now, cost, copies, parts, trials, paid)
-        get.legs, get.held = get.legs + 1, -1
-        if told.effect != "idempotent" and get.ran is None:
-            get.ran = (now, cache)
-        get.out[out.leg] = self.outs[get.id, out.leg] = out
+        out = Out(get, get.attempts, cache, source, now, cost, copies, parts, trials, paid)
+        get.attempts, get.held = get.attempts + 1, -1
+        if not self.begins_later:
+            self.began(out)
+        get.out[out.attempt] = self.outs[get.id, out.attempt] = out
         age, plain = self.oldest(get, source is cache), source is not cache and not trials
         renew = told.fresh > 0 and not age and plain and self.warmth(source) >= 1
-        join = self.told.joins and out.leg == 0 and not trials
+        join = self.told.joins and out.attempt == 0 and not trials
         self.actions.append(i.Forward(get.id, cache.name, source.name, 1, 0, age, join, renew, copies))
-        heappush(self.due, (now + self.overdue(get), get.id, out.leg))
+        heappush(self.due, (now + self.overdue(get), get.id, out.attempt))
+
+    def still(self, now: int, gid: int, attempt: int) -> int:
+        """Asked as its first byte is to be written, maybe later: the oldest copy that will do now; -1: it may
+        not go, as its GET, the list or the window is over."""
+        self.now, get = now, self.gets.get(gid)
+        out = get.out.get(attempt) if get and now < get.end and self.may_repeat(get) else None
+        if out is None or not all(n.active for n in out.parts):
+            return -1
+        self.began(out)
+        return self.oldest(out.get, out.source is out.cache)
+
+    def began(self, out: Out) -> None:
+        """From here on it may have run."""
+        if out.get.service.told.effect != "idempotent" and out.get.ran is None:
+            out.sent, out.get.ran = self.now, (self.now, out.cache)
 
     def strained(self) -> bool:
         """The origin is Open, behind or slow (half its first limit), or most parents fail at once, which may
         be its fault: parents give what they hold, the rest waits. One that lacks it is known to be alive."""
         origin, doubt = self.origin, 2 * sum(n.breaker.run > 1 for n in self.parents) > len(self.parents)
-        if origin is None:
-            return False
-        slow = origin.limit < 32 or self.behind() > STRAIN if self.told.notes == "all" else doubt
-        return slow or origin.breaker.state != "Closed"
+        slow = origin is not None and origin.limit < 32 if self.noted else doubt
+        return origin is not None and (slow or self.behind() > STRAIN or origin.breaker.state != "Closed")
 
     def fits(self, get: Get) -> bool:
         """Whether its fill still fits on the link into the location, by chance while that is over-full."""
@@ -402,7 +418,7 @@
             fit = [n for n in fit if self.tiers.has(n.name)]
         elif not fit and self.told.direct:
             fit = [n for n in self.sources(get) if self.keeps_scope(get, n)]
-        spills = fit and self.full(fit[0]) >= self.brim
+        spills = fit and self.full(fit[0]) >= self.high_watermark
         return next((n for n in fit if not spills or self.full(n) < self.ample), fit[0] if fit else None)
 
     def sources(self, get: Get) -> list[Node]:
@@ -444,8 +460,8 @@
         return max(node.out, node.held * fresh) / max(6.0, limit)
 
     def shut(self, node: Node, get: Get) -> bool:
-        if node.role == "cache":  # what earns less for its sending time leaves the room above the brim
-            return self.full(node) >= (1.0 if get.density > self.density else self.brim)
+        if node.role == "cache":  # what earns less for its sending time leaves the room above the mark
+            return self.full(node) >= (1.0 if get.density > self.density else self.high_watermark)
         return node.out >= node.limit or not self.allows(node)
 
     def blocked(self, get: Get, cache: Node) -> Node | None:
@@ -456,13 +472,15 @@
 
     def may_forward(self, get: Get) -> bool:
         """Effect kinds: what may have run goes again only as its kind allows."""
-        told = get.service.told
-        spent = self.now >= get.end or get.legs >= self.told.max_forwards
+        spent = self.now >= get.end or get.attempts >= self.told.max_forwards
         if spent or (get.out and not self.told.second_copies):
             return False
-        if get.ran is None or told.effect == "idempotent":
-            return True
-        return told.effect == "tokened" and self.now + self.told.tick < get.ran[0] + told.remembered
+        return self.may_repeat(get)
+
+    def may_repeat(self, get: Get) -> bool:
+        told, began = get.service.told, get.ran[0] if get.ran else self.now
+        kept = told.effect == "tokened" and self.now + self.told.tick < began + told.remembered
+        return get.ran is None or kept or told.effect == "idempotent"
 
     def keeps_scope(self, get: Get, node: Node) -> bool:
         scope, entry = get.service.told.scope, node.entry
@@ -523,7 +541,9 @@
         if event and source is not cache and event.note in (6, 7):
             return self.waited(out) if event.took > S // 2 else source
         if event and source is not cache and event.result == "shed" and event.took > NEAR:
-            return out.parts[-1]  # the origin, where its parent was known to lack the object
+            last, self.refused = self.refused or source, source  # untold whose word: of several, the origin's
+            several = not self.noted and last is not source
+            return (several and self.origin) or out.parts[-1]  # the origin also where its parent lacked it
         if source is not cache and cache.ok_at > out.sent and (event is None or event.result != "broken"):
             source.run += 1
             return self.waited(out) if source.run >= LEAST else None
@@ -535,22 +555,18 @@
         that too gave some as usual, for a crowded cache. The last source Closed is not opened by silence."""
         source, sources = out.source, (*self.parents, self.origin)
         gave = source.role == "parent" and source.ok_at >= out.sent and not out.copies
-        if (gave and self.told.notes == "all") or len(out.parts) > 2:
+        if (gave and self.noted) or len(out.parts) > 2:
             return self.origin if self.origin and self.origin.quick_at < out.sent else None
         return source if any(n and n is not source and n.breaker.state == "Closed" for n in sources) else None
 
     def note(self, node: Node, weight: float, trial: bool) -> None:
-        half_open = trial and node.breaker.state == "Half-Open"
-        if self.fleet and half_open:
-            self.fleet.tried(self.now, node.known, node.home, weight < 1)
-            if self.tiers:
-                self.tiers.saw(self.now, node.name, weight >= 1)
-        else:
-            self.seen(node, weight >= 1)
+        self.seen(node, weight >= 1, trial and node.breaker.state == "Half-Open")
         self.changed(node, node.breaker.note(self.now, weight, trial))
 
-    def seen(self, node: Node, bad: bool) -> None:
-        if self.fleet:
+    def seen(self, node: Node, bad: bool, tried: bool = False) -> None:
+        if self.fleet and tried:
+            self.fleet.tried(self.now, node.known, node.home, not bad)
+        elif self.fleet:
             self.fleet.saw(self.now, node.known, node.home, bad)
         if self.tiers:
             self.tiers.saw(self.now, node.name, bad)
@@ -567,11 +583,11 @@
         return node.home or any(n and n is not node and n.breaker.state == "Closed" for n in others)
 
     def ended(self, event: i.ForwardEnded) -> None:
-        out = self.outs.pop((event.get, event.leg), None)
+        out = self.outs.pop((event.get, event.attempt), None)
         if out is None:
             return
         get, cache, source = out.get, out.cache, out.source
-        get.out.pop(out.leg, None)
+        get.out.pop(out.attempt, None)
         for node in out.parts:
             node.out -= 1
         if "held" in event.load:
@@ -605,21 +621,19 @@
             if event.result == "lacking" and (out.copies or (source is cache and not get.lacked)):
                 get.lacked = 2 if out.copies else 1
                 gives = self.origin and self.allows(self.origin) and get.luck * self.behind() < 1
-                shut = not self.fits(get) or (out.copies and not gives)
-                if shut or self.pick_source(get, cache) is cache:
-                    self.give_up(get)
-                else:
-                    self.dispatch(get)
+                can = (gives or not out.copies) and self.fits(get)
+                (self.dispatch if can and self.pick_source(get, cache) is not cache else self.give_up)(get)
             else:
-                again = event.result == "broken" and get.legs == 1  # once where its copy is
+                again = event.result == "broken" and get.attempts == 1  # once where its copy is
                 doubt = source if event.result == "shed" and event.took > NEAR else cache
                 if event.result != "recalled" and not again:
-                    get.avoid.add(blamed or doubt)
-                self.spare += again  # what it asked for was given up: it loads nobody twice
+                    get.avoid.add(blamed if blamed and (self.noted or blamed in out.parts) else doubt)
+                # what it asked for was given up, or never went out: it loads nobody twice
+                self.retry_budget += again or event.result == "unsent"
                 # what the origin refused reaches the same one by any way: while it is behind, by luck too
-                fits = event.note != 10 or get.luck * self.behind() < 1
-                if not get.out and self.spare >= 1 and fits:
-                    self.spare -= 1  # spare ones only, against retry storms
+                fits = (event.note != 10 and blamed is not self.origin) or get.luck * self.behind() < 1
+                if not get.out and self.retry_budget >= 1 and fits:
+                    self.retry_budget -= 1  # spare ones only, against retry storms
                     self.hold(get, None)  # behind first forwards that wait
                 elif not get.out:
                     self.give_up(get)
@@ -632,9 +646,9 @@
             if self.tiers:
                 self.tiers.unspent(out.cache.name, source.name, out.paid)
         late = event.took > service.told.objective + service.told.stretch * (out.get.size or service.mean)
-        judged = self.origin if behind and self.origin else source
+        judged = (self.origin if behind or (blamed is self.origin and not self.noted) else None) or source
         # where no first byte is told, a late fill (a recalled one too) thins a parent, but never opens it
-        slow = 0.75 if late and self.told.notes != "all" and judged.role == "parent" else 0.0
+        slow = 0.75 if late and not self.noted and judged.role == "parent" else 0.0
         if filled:
             if "link" not in event.load:
                 ease = 0.99 if out.get.size else 0.97  # balances at a tenth late; unsized, large ones look so
@@ -650,7 +664,7 @@
             self.note(judged, slow, judged in out.trials)
             if judged is not source:  # it passed on what the origin gave: others are told that it lives
                 self.seen(source, False)
-        elif blamed is not None and blamed is not out.cache:
+        elif blamed and blamed is not out.cache and (self.noted or blamed in out.parts):
             self.note(blamed, 1.0, blamed in out.trials)
         elif event.result == "recalled" and slow and out.cache.ok_at > out.sent:
             self.note(source, slow, False)
@@ -685,13 +699,13 @@
             get.avoid.add(blamed)
             self.note(blamed, 1.0, blamed in out.trials)
         if blamed is None and all(n.breaker.state == "Closed" for n in (out.cache, out.source)):
-            return heappush(self.due, (self.now + self.overdue(get), get.id, out.leg))
-        further = len(get.out) == 1 and self.spare >= 1 and get.service.told.effect == "idempotent"
+            return heappush(self.due, (self.now + self.overdue(get), get.id, out.attempt))
+        further = len(get.out) == 1 and self.retry_budget >= 1 and get.service.told.effect == "idempotent"
         cache = self.pick_cache(get) if further and self.may_forward(get) else None
         if cache is not None and self.told.cancel and "Open" in (n.breaker.state for n in out.parts):
-            self.actions.append(i.Recall(get.id, out.leg))  # hung fills must not fill up a live cache
+            self.actions.append(i.Recall(get.id, out.attempt))  # hung fills must not fill up a live cache
         elif cache is not None and not self.blocked(get, cache):
-            self.spare -= 1
+            self.retry_budget -= 1
             self.forward(get, cache)
 
     def give_up(self, get: Get) -> None:
@@ -707,24 +721,24 @@
         self.recall(get, -1)
 
     def recall(self, get: Get, but: int) -> None:
-        self.actions += [i.Recall(get.id, leg) for leg in get.out if self.told.cancel and leg != but]
+        self.actions += [i.Recall(get.id, one) for one in get.out if self.told.cancel and one != but]
 
-    def run_due(self) -> None:
-        while self.due and self.due[0][0] <= self.now:
+    def run_due(self, woken: bool) -> None:
+        while woken and self.due and self.due[0][0] <= self.now:  # else more may lie ready, not told yet
             _, gid, what = heappop(self.due)
             get = self.gets.get(gid)
             if what == ASK:
                 self.actions.append(i.AskForList())
-            elif get and (what == END or (what == LINE and 0 <= get.held <= self.now - get.service.hold)):
+            elif get and (what == END or (what == QUEUE and 0 <= get.held <= self.now - get.service.hold)):
                 self.give_up(get)
             elif get and (out := get.out.get(what)):
                 self.look(get, out)
-        if self.now - self.swept >= S // 10:
+        if woken and self.now - self.swept >= S // 10:
             self.swept, settled = self.now, self.now - self.told.purge_settles
             self.purges = {key: when for key, when in self.purges.items() if when > settled}
             self.redispatch(sweep=True)
         if self.due:
-            when = min(self.due[0][0], self.now + S // 10) if self.line else self.due[0][0]
+            when = min(self.due[0][0], self.now + S // 10) if self.queue else self.due[0][0]
             if self.armed <= self.now or when < self.armed:
-                self.armed = when
-                self.actions.append(i.Wake(max(1, when - self.now)))
+                self.armed = max(when, self.now + 1)
+                self.actions.append(i.Wake(self.armed - self.now))
--- a/damsonstream/standins/clients.py
+++ b/damsonstream/standins/clients.py
@@ -17,7 +17,7 @@
 
 from damsonstream.standins import wire
 from damsonstream.standins.traffic import Arrival, Catalogue
-from damsonstream.transport.link import Link
+from damsonstream.transport.connection import Connection
 
 CONNECTIONS = 4  # to each gateway
 STREAMS = 32  # GETs on each
@@ -53,7 +53,7 @@
     come_back_ms: int = 0
 
 
-class GatewayLink(Link):
+class GatewayLink(Connection):
     """One connection to a gateway."""
 
     def __init__(self, front: Front, name: str) -> None:
--- a/damsonstream/standins/servers.py
+++ b/damsonstream/standins/servers.py
@@ -22,7 +22,7 @@
 from damsonstream.standins import wire
 from damsonstream.standins.faults import Condition, Plan
 from damsonstream.standins.shelf import Copy, Effects, Key, Shelf
-from damsonstream.transport.link import Link
+from damsonstream.transport.connection import Connection
 
 LOOPBACK = "127.0.0.1"
 SETTLE = 0.2  # seconds within which a node drops what was purged
@@ -179,7 +179,7 @@
         return copy, "via_origin"
 
 
-class CacheLink(Link):
+class CacheLink(Connection):
     """One gateway's connection to a node."""
 
     def __init__(self, node: Node) -> None:
@@ -353,7 +353,7 @@
                     link.beat()
 
 
-class BulletinLink(Link):
+class BulletinLink(Connection):
     def __init__(self, bulletin: Bulletin) -> None:
         super().__init__()
         self.bulletin, self.hello, self.told = bulletin, b"", -1
--- a/setup.py
+++ b/setup.py
@@ -9,7 +9,7 @@
     "damsonstream/routing/interface.py",
     "damsonstream/routing/router.py",
     "damsonstream/routing/gateway.py",
-    "damsonstream/routing/life.py",
+    "damsonstream/routing/handler.py",
     "damsonstream/protocol/fastcgi.py",
     "damsonstream/protocol/resp.py",
     "damsonstream/protocol/bulletin.py",
