--- a/damsonstream/program/config.py
+++ b/damsonstream/program/config.py
@@ -1,8 +1,9 @@
-"""What a gateway is told: its configuration file, read and checked at the start and on each SIGHUP.
+"""The configuration file of a gateway, read and checked at startup and on each SIGHUP.
 
-How it is called: `read(path)` returns a `Config`, or raises `Unusable` with one plain sentence that names the
-field; `restarts(old, new)` names what only a restart takes over. `footprint()` puts the settings, also
-those of the bench's first message, into the router's words.
+Usage: `read(path)` returns a `Config`, or raises `ConfigError` with a sentence that names the invalid field.
+`restart_fields(running, loaded)` names the changed fields that take effect only after a restart.
+`parse_footprint()` converts the settings, also those of the bench's first message, to the types of the
+router.
 """
 
 from __future__ import annotations
@@ -16,65 +17,70 @@
 from damsonstream.routing import interface as i
 
 US = 100  # microseconds in a tenth of a millisecond
-EFFECTS = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "non-idempotent"}
+EFFECT_BY_NAME = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "non-idempotent"}
 
 
-class Unusable(Exception):
-    """The configuration is missing or can't be used."""
+class ConfigError(Exception):
+    """The configuration is missing or invalid."""
 
 
 @dataclass(frozen=True)
 class Config:
-    path: str  # where it was read, and is read again
+    """A checked configuration. The log prints field names under `restart_for`."""
+
+    path: str  # of the file, which SIGHUP reads again
     name: str
     listen: tuple[str, int]
-    feed: str  # address of the bulletin
+    feed: str  # host:port of the bulletin
     seed: int
-    sockets: int  # descriptors of the process
+    sockets: int  # limit on file descriptors of the process
     memory_mb: int
-    last: int  # number of the last event known
-    known: tuple[bulletin.Event, ...]
+    last: int  # number of the last event in `known`
+    known: tuple[bulletin.Event, ...]  # events of the bulletin that the file contains
     footprint: i.Footprint
     locations: tuple[str, ...]
-    connect_timeout: float  # seconds, as are the next
-    idle: float
-    streams: int  # forwards on one connection
-    most_open: int  # GETs open at once
-    drain_grace: int = 0  # the rules' figures, tenths of a millisecond, 0: not told; only records hold them
-    purge_grace: int = 0
+    connect_timeout: float  # seconds
+    idle: float  # idle timeout of connections to caches, seconds
+    streams: int  # maximum of pending forwards on one connection
+    most_open: int  # maximum of open GETs
+    drain_grace: int = 0  # tenths of a millisecond, 0: not configured; used only in records
+    purge_grace: int = 0  # as drain_grace
     location: str = ""
-    peer_listen: tuple[str, int] | None = None  # None: no address for messages is told
-    peers: tuple[tuple[str, int], ...] = ()  # all gateways of the tier, by their numbers, this one included
-    place: int = 0  # this one's number
-    messages: bool = False  # whether gateways may send each other any
-    message_price: float = 0.0  # part of all revenue that one full message a GET costs
+    peer_listen: tuple[str, int] | None = None  # address for messages between gateways; None: not configured
+    peers: tuple[tuple[str, int], ...] = ()  # all gateways of the tier by number, including this one
+    place: int = 0  # number of this gateway: its index in `peers`
+    messages: bool = False  # whether gateways may send messages to each other
+    message_price: float = 0.0  # cost of one full-size message per GET, as a share of the revenue
 
 
 def tenths(value: Any) -> int:
+    """Converts microseconds to tenths of a millisecond."""
     return int(value) // US
 
 
 def address(text: Any, field: str) -> tuple[str, int]:
+    """Parses host:port; `field` is the name for the error message."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise Unusable(f"The field {field} is not an address of the form host:port.")
+        raise ConfigError(f"The field {field} is not an address of the form host:port.")
     return host, int(port)
 
 
 def read(path: str | None) -> Config:
+    """Reads and checks the configuration file; raises ConfigError."""
     if not path:
-        raise Unusable("No configuration: set ROUTER_CONFIG or give --config.")
+        raise ConfigError("No configuration file: set ROUTER_CONFIG or use --config.")
     try:
-        told = json.loads(Path(path).read_text())
-    except OSError as fault:
-        raise Unusable(f"The configuration {path} can't be read: {fault.strerror}.") from fault
-    except ValueError as fault:
-        raise Unusable(f"The configuration {path} is not JSON: {fault}.") from fault
-    field = ""
+        document = json.loads(Path(path).read_text())
+    except OSError as error:
+        raise ConfigError(f"Cannot read the configuration file {path}: {error.strerror}.") from error
+    except ValueError as error:
+        raise ConfigError(f"The configuration file {path} is not valid JSON: {error}.") from error
+    field = ""  # the field being read, for error messages
 
     def get(*keys: str) -> Any:
         nonlocal field
-        value, field = told, ".".join(keys)
+        value, field = document, ".".join(keys)
         for key in keys:
             value = value[key]
         return value
@@ -84,110 +90,116 @@
         address(get("bulletin"), "bulletin")
         seed = int(str(get("seed")), 16)
         sockets, memory = int(get("limits", "sockets")), int(get("limits", "memory_mb"))
-        last, known = bulletin.known(get("known"))
+        last, known = bulletin.initial_events(get("known"))
         limits = get("settings", "limits")
         field = "settings"
         return Config(
             path=path,
             name=name,
             listen=listen,
-            feed=told["bulletin"],
+            feed=document["bulletin"],
             seed=seed,
             sockets=sockets,
             memory_mb=memory,
             last=last,
             known=tuple(known),
-            footprint=footprint(told["settings"]),
-            locations=tuple(told["settings"].get("zones", ())),
+            footprint=footprint(document["settings"]),
+            locations=tuple(document["settings"].get("zones", ())),
             connect_timeout=int(limits.get("connectTimeout", 250_000)) / 1e6,
             idle=int(limits.get("connIdle", 15_000_000)) / 1e6,
             streams=int(limits.get("maxStreams", 1)),
             most_open=int(limits.get("maxOpen", 1000)),
-            drain_grace=tenths(told["settings"].get("rules", {}).get("stopSendingWithin", 0)),
-            purge_grace=tenths(told["settings"].get("familyInfo", {}).get("noticeTime", 0)),
-            location=str(told["settings"].get("myZone", "")),
-            **peering(told),
+            drain_grace=tenths(document["settings"].get("rules", {}).get("stopSendingWithin", 0)),
+            purge_grace=tenths(document["settings"].get("familyInfo", {}).get("noticeTime", 0)),
+            location=str(document["settings"].get("myZone", "")),
+            **peer_fields(document),
         )
-    except KeyError as fault:
-        raise Unusable(f"The field {field} of the configuration lacks {fault}.") from fault
-    except (TypeError, ValueError, AttributeError, ArithmeticError) as fault:
-        raise Unusable(f"The field {field} of the configuration can't be used: {fault}.") from fault
-
-
-def peering(told: dict[str, Any]) -> dict[str, Any]:
-    """What concerns messages between gateways; a field that is there has to be usable."""
-    settings = told["settings"]
-    peers = tuple(address(one, f"peers[{n}]") for n, one in enumerate(told.get("peers", ())))
-    listen = address(told["peer_listen"], "peer_listen") if "peer_listen" in told else None
-    place = int(settings.get("ordinal", peers.index(listen) if listen in peers else 0))
-    if peers and not 0 <= place < len(peers):
-        raise Unusable(f"The field settings.ordinal is {place}, and peers names {len(peers)}.")
+    except KeyError as error:
+        raise ConfigError(f"Configuration field {field}: missing key {error}.") from error
+    except (TypeError, ValueError, AttributeError, ArithmeticError) as error:
+        raise ConfigError(f"Configuration field {field}: invalid value: {error}.") from error
+
+
+def peer_fields(document: dict[str, Any]) -> dict[str, Any]:
+    """Returns the fields of `Config` for messages between gateways. They are optional, but must be valid if
+    set."""
+    settings = document["settings"]
+    peers = tuple(address(peer, f"peers[{n}]") for n, peer in enumerate(document.get("peers", ())))
+    listen = address(document["peer_listen"], "peer_listen") if "peer_listen" in document else None
+    ordinal = int(settings.get("ordinal", peers.index(listen) if listen in peers else 0))
+    if peers and not 0 <= ordinal < len(peers):
+        raise ConfigError(f"The field settings.ordinal is {ordinal}, but peers has {len(peers)} entries.")
     return {
-        "peer_listen": listen, "peers": peers, "place": place,
+        "peer_listen": listen, "peers": peers, "place": ordinal,
         "messages": bool(settings.get("limits", {}).get("peerMessages", False)),
         "message_price": float(settings.get("deductions", {}).get("peer", 0.0)),
     }  # fmt: skip
 
 
-def restarts(old: Config, new: Config) -> list[str]:
-    """What has changed besides the bulletin's address and the events known, which the bulletin tells."""
+def restart_fields(running: Config, loaded: Config) -> list[str]:
+    """Returns the names of changed fields that need a restart: all but the address of the bulletin, and the
+    known events, which the bulletin sends anyway."""
     names = (field.name for field in fields(Config) if field.name not in ("path", "feed", "last", "known"))
-    return [name for name in names if getattr(old, name) != getattr(new, name)]
+    return [name for name in names if getattr(running, name) != getattr(loaded, name)]
 
 
-def footprint(told: dict[str, Any]) -> i.Footprint:
-    info = told.get("familyInfo", {})
-    limits = told.get("limits", {})
-    rules = told.get("rules", {})
-    kinds = tuple(told.get("kinds", ()))
-    zones = told.get("zones", [])
-    mine = told.get("myZone", "")
+def footprint(settings: dict[str, Any]) -> i.Footprint:
+    """Converts the `settings` section to the router's view of the system: its services, limits and rules."""
+    family = settings.get("familyInfo", {})
+    limits = settings.get("limits", {})
+    rules = settings.get("rules", {})
+    models = tuple(settings.get("kinds", ()))
+    zones = settings.get("zones", [])
+    own_zone = settings.get("myZone", "")
 
     def model(key: str) -> str:
-        place = info.get(key, -1)
-        return kinds[place] if 0 <= place < len(kinds) else ""
+        index = family.get(key, -1)
+        return models[index] if 0 <= index < len(models) else ""
 
-    def per_service(key: str, place: int) -> Any:
-        values = info.get(key, [])
-        return values[place] if place < len(values) else 0
+    def per_service(key: str, index: int) -> Any:
+        values = family.get(key, [])
+        return values[index] if index < len(values) else 0
 
     services = tuple(
         i.DeliveryService(
-            name=lane["name"],
-            objective=tenths(lane["onTime"]),
-            stretch=float(lane.get("aimStretch", 0)),
-            viewer_timeout=tenths(lane["hardLimit"]),
-            revenue=float(lane.get("worth", 1)),
-            late_share=float(lane.get("lateShare", 0)),
-            effect=EFFECTS[lane["idempotency"]],
-            scope=lane.get("keyScope", "all"),
-            remembered=tenths(lane.get("dedupWindow", 0)),
-            streamed=bool(lane.get("streaming", False)),
-            fresh=tenths(per_service("maxAge", place)),
-            grace=tenths(per_service("usableAfter", place)),
-            passes=bool(per_service("passOn", place)),
+            name=service["name"],
+            objective=tenths(service["onTime"]),
+            stretch=float(service.get("aimStretch", 0)),
+            viewer_timeout=tenths(service["hardLimit"]),
+            revenue=float(service.get("worth", 1)),
+            late_share=float(service.get("lateShare", 0)),
+            effect=EFFECT_BY_NAME[service["idempotency"]],
+            scope=service.get("keyScope", "all"),
+            remembered=tenths(service.get("dedupWindow", 0)),
+            streamed=bool(service.get("streaming", False)),
+            fresh=tenths(per_service("maxAge", index)),
+            grace=tenths(per_service("usableAfter", index)),
+            passes=bool(per_service("passOn", index)),
         )
-        for place, lane in enumerate(told["lanes"])
+        for index, service in enumerate(settings["lanes"])
     )
-    at_home = info.get("zoneBalancers", [])
-    here = zones.index(mine) if mine in zones else -1
-    gateways = int(told.get("balancers", 1))
+    gateways_by_zone = family.get("zoneBalancers", [])
+    own_zone_index = zones.index(own_zone) if own_zone in zones else -1
+    gateways = int(settings.get("balancers", 1))
     return i.Footprint(
         services=services,
-        location=mine,
+        location=own_zone,
         gateways=gateways,
-        location_gateways=(at_home[here] if 0 <= here < len(at_home) else 0) or gateways,
-        models=kinds,
+        location_gateways=(
+            gateways_by_zone[own_zone_index] if 0 <= own_zone_index < len(gateways_by_zone) else 0
+        )
+        or gateways,
+        models=models,
         parent_model=model("shieldKind"),
         origin_model=model("masterKind"),
-        weights=told.get("weights", "none"),
-        ask_for_list=told.get("membershipMode") == "subscribe",
+        weights=settings.get("weights", "none"),
+        ask_for_list=settings.get("membershipMode") == "subscribe",
         ask_within=tenths(rules.get("askWithin", 0)),
-        client_kb_per_s=float(info.get("clientKbPerS", 0)),
-        notes=info.get("says", "none"),
-        joins=bool(info.get("joins", True)),
-        direct=bool(info.get("passThroughOk", False)),
-        tick=max(1, tenths(told.get("tick", 0))),
+        client_kb_per_s=float(family.get("clientKbPerS", 0)),
+        notes=family.get("says", "none"),
+        joins=bool(family.get("joins", True)),
+        direct=bool(family.get("passThroughOk", False)),
+        tick=max(1, tenths(settings.get("tick", 0))),
         cancel=bool(limits.get("cancel", False)),
         second_copies=bool(limits.get("secondCopies", False)),
         retry_after=bool(limits.get("retryAfter", False)),
@@ -197,8 +209,8 @@
         cold_for=tenths(rules.get("warmWithin", 0)),
         cold_multiple=float(rules.get("fallMultiple", 1)),
         cold_span=tenths(rules.get("tipAfter", 0)),
-        parent_cold_share=float(info.get("parentStartsAt", 1)),
-        parent_cold_for=tenths(info.get("upperCold", 0)),
-        parent_cold_multiple=float(info.get("parentBreaksAt", 1)),
-        purge_settles=tenths(info.get("purgeSettles", 0)),
+        parent_cold_share=float(family.get("parentStartsAt", 1)),
+        parent_cold_for=tenths(family.get("upperCold", 0)),
+        parent_cold_multiple=float(family.get("parentBreaksAt", 1)),
+        purge_settles=tenths(family.get("purgeSettles", 0)),
     )
--- a/damsonstream/program/gathering.py
+++ b/damsonstream/program/gathering.py
@@ -1,8 +1,8 @@
-"""Joins one gateway to its peers: a council, its socket, and the turns in which they go on.
+"""Connects one gateway to its peers: the coordinator, its UDP socket, and the periodic exchange of messages.
 
-How it is called: `begin(config, pieces, clock, tell, recorder)` gives a `Gathering`, or None where the
-settings allow no messages or name no peers; `await open()`, then `run()` as a task. `listed()` is told of the
-list, for the names of sources.
+Usage: `create_peer_exchange(config, features, clock, notify, recorder)` returns a `PeerExchange`, or None if
+the settings allow no messages or name no peers. Call `await open()`, then start `run()` as a task.
+`update_list()` receives changes of the list of caches, which give the names of sources.
 """
 
 from __future__ import annotations
@@ -18,117 +18,124 @@
 from damsonstream.protocol import bulletin
 from damsonstream.routing.gateway import NS, TENTHS, Clock
 from damsonstream.routing.interface import PeersTold
-from damsonstream.transport.peers import Peers
+from damsonstream.transport.peers import PeerSocket
 
-if TYPE_CHECKING:  # loaded where records are on
+if TYPE_CHECKING:  # imported at run time only if records are enabled
     from damsonstream.records.recorder import Recorder
 
 log = logging.getLogger(__name__)
-RECORD = 50_000  # tenths of a millisecond between records of what is believed, where nothing changes
-SINCE = 1_767_225_600  # Unix seconds from which boots are counted, in tenths: 32 bits last for 13 years
+RECORD_INTERVAL = 50_000  # tenths of a millisecond between records of an unchanged state
+# Unix time from which the incarnation number counts tenths of a second: 32 bits last for 13 years.
+BOOT_EPOCH_S = 1_767_225_600
 
 
-class Gathering:
+class PeerExchange:
+    """The exchange of one gateway with its peers. `notify` passes the results to the router."""
+
     def __init__(
-        self, config: Config, pieces: frozenset[str], clock: Clock, tell: Callable[[PeersTold], None],
+        self, config: Config, features: frozenset[str], clock: Clock, notify: Callable[[PeersTold], None],
         recorder: Recorder | None = None,
     ) -> None:  # fmt: skip
-        self.clock, self.tell, self.recorder = clock, tell, recorder
-        self.names: dict[int, str] = {}  # of sources; made anew with each whole list, else as long as it
-        self.noted, self.noted_at = ("", [0]), 0  # what was recorded last of what it believes
-        here = config.locations.index(config.location) if config.location in config.locations else 0
-        boot = max(0, clock.unix() // (NS * 1000) - SINCE * 10) & 0xFFFFFFFF
+        self.clock, self.notify, self.recorder = clock, notify, recorder
+        self.source_names: dict[int, str] = {}  # by source id; the caches of the current list
+        self.recorded, self.recorded_at = ("", [0]), 0  # the last recorded state, and its time
+        location = config.locations.index(config.location) if config.location in config.locations else 0
+        incarnation = max(0, clock.unix() // (NS * 1000) - BOOT_EPOCH_S * 10) & 0xFFFFFFFF
         footprint = config.footprint
-        self.council = Council(
-            config.name, config.place, footprint.gateways, here, footprint.location_gateways, boot,
-            config.message_price, config.seed & 0xFFFFFFFF, clock.now(), pieces,
+        self.coordinator = Council(
+            config.name, config.place, footprint.gateways, location, footprint.location_gateways, incarnation,
+            config.message_price, config.seed & 0xFFFFFFFF, clock.now(), features,
         )  # fmt: skip
         if recorder is not None:
-            self.council.on_turn = self.turn
+            self.coordinator.on_turn = self.record_turn
         assert config.peer_listen is not None
-        self.peers = Peers(config.peer_listen, config.peers, self.heard)
+        self.socket = PeerSocket(config.peer_listen, config.peers, self.on_datagram)
 
-    def keeps(self, cache: str) -> bool:
-        return self.council.keeps(source_id(cache))
+    def keeps_idle(self, cache: str) -> bool:
+        """Returns whether the cache is assigned to this gateway, so that idle connections to it are kept."""
+        return self.coordinator.keeps(source_id(cache))
 
     async def open(self) -> None:
-        await self.peers.open()
+        await self.socket.open()
 
-    def moved(self, config: Config) -> None:
-        """SIGHUP: the list of peers and the told numbers."""
-        self.peers.moved(config.peers)
+    def apply_config(self, config: Config) -> None:
+        """Applies the list of peers and the numbers of gateways of a reloaded configuration."""
+        self.socket.set_addresses(config.peers)
         footprint = config.footprint
-        self.council.resize(self.clock.now(), footprint.gateways, footprint.location_gateways)
+        self.coordinator.resize(self.clock.now(), footprint.gateways, footprint.location_gateways)
 
-    def heard(self, place: int, data: bytes) -> None:
-        self.pass_on(self.council.heard(self.clock.now(), place, data))
+    def on_datagram(self, peer_index: int, data: bytes) -> None:
+        self.deliver(self.coordinator.heard(self.clock.now(), peer_index, data))
 
-    def listed(self, event: bulletin.ListChanged) -> None:
+    def update_list(self, event: bulletin.ListChanged) -> None:
         if event.whole:
-            self.names = {}
-        for line in event.entries:
-            if line.state == "left":
-                self.names.pop(source_id(line.cache), None)
+            self.source_names = {}
+        for entry in event.entries:
+            if entry.state == "left":
+                self.source_names.pop(source_id(entry.cache), None)
             else:
-                self.names[source_id(line.cache)] = line.cache
+                self.source_names[source_id(entry.cache)] = entry.cache
 
-    def name(self, source: int) -> str:
-        return self.names.get(source, f"{source:08x}")
+    def source_name(self, source: int) -> str:
+        return self.source_names.get(source, f"{source:08x}")
 
-    def turn(self, now: int, source: int, state: str) -> None:
+    def record_turn(self, now: int, source: int, state: str) -> None:
         if self.recorder is not None:
-            self.recorder.turn(now, self.name(source), state)
+            self.recorder.turn(now, self.source_name(source), state)
 
-    def pass_on(self, told: Iterable[PeersTold]) -> None:
-        for one in told:
-            log.info("told", extra={"source": self.name(one.source), "what": one.what})
+    def deliver(self, notices: Iterable[PeersTold]) -> None:
+        """Logs and records what the peers reported, and passes it to the router."""
+        for notice in notices:
+            log.info("told", extra={"source": self.source_name(notice.source), "what": notice.what})
             if self.recorder is not None:
-                self.recorder.told(self.clock.now(), self.name(one.source), one.what)
-            self.tell(one)
+                self.recorder.told(self.clock.now(), self.source_name(notice.source), notice.what)
+            self.notify(notice)
 
-    def note(self, now: int) -> None:
-        """Logs and records what this gateway believes, as it changes, and records it each few seconds."""
-        council, members = self.council, self.council.members
+    def record_state(self, now: int) -> None:
+        """Logs and records the view of this gateway when it changes; records it each `RECORD_INTERVAL` as
+        well."""
+        coordinator, members = self.coordinator, self.coordinator.members
         standing = members.standing(now)
-        silent = sorted(place for place in members.silences if members.silent(now, place))
-        changed = (standing, silent) != self.noted
-        if changed and standing != self.noted[0]:
-            told = ",".join(map(str, silent)) or "-"
-            log.info("standing", extra={"what": standing, "silent": told})
-        if self.recorder is not None and (changed or now - self.noted_at >= RECORD):
-            shares = (council.near, council.far)
-            lent = sum(lease.millionths for one in shares for lease in one.given.values())
-            taken = sum(lease.millionths for one in shares for lease in one.taken.values())
-            near, far = (one.millionths(now) for one in shares)
-            counted = council.counted
-            self.recorder.peers(now, standing, silent, near, far, lent, taken, counted["sent"],
-                                counted["heard"])  # fmt: skip
-            self.noted_at = now
-        self.noted = (standing, silent)
+        silent = sorted(peer for peer in members.silences if members.silent(now, peer))
+        changed = (standing, silent) != self.recorded
+        if changed and standing != self.recorded[0]:
+            silent_peers = ",".join(map(str, silent)) or "-"
+            log.info("standing", extra={"what": standing, "silent": silent_peers})
+        if self.recorder is not None and (changed or now - self.recorded_at >= RECORD_INTERVAL):
+            shares = (coordinator.near, coordinator.far)
+            lent = sum(lease.millionths for share in shares for lease in share.given.values())
+            borrowed = sum(lease.millionths for share in shares for lease in share.taken.values())
+            near_millionths, far_millionths = (share.millionths(now) for share in shares)
+            counters = coordinator.counted
+            self.recorder.peers(now, standing, silent, near_millionths, far_millionths, lent, borrowed,
+                                counters["sent"], counters["heard"])  # fmt: skip
+            self.recorded_at = now
+        self.recorded = (standing, silent)
 
     async def run(self) -> None:
+        """Sends the messages that are due in each round. Never returns."""
         while True:
             await anyio.sleep(TURN / (1000 * TENTHS))
             try:
                 now = self.clock.now()
-                out, told = self.council.due(now)
-                for place, data in out:
-                    self.peers.send(place, data)
-                self.pass_on(told)
-                self.note(now)
+                datagrams, notices = self.coordinator.due(now)
+                for peer_index, data in datagrams:
+                    self.socket.send(peer_index, data)
+                self.deliver(notices)
+                self.record_state(now)
             except Exception:
                 log.exception("peers")
                 await anyio.sleep(1.0)
 
     def close(self) -> None:
-        self.peers.close()
+        self.socket.close()
 
 
-def begin(
-    config: Config, pieces: frozenset[str], clock: Clock, tell: Callable[[PeersTold], None],
+def create_peer_exchange(
+    config: Config, features: frozenset[str], clock: Clock, notify: Callable[[PeersTold], None],
     recorder: Recorder | None = None,
-) -> Gathering | None:  # fmt: skip
+) -> PeerExchange | None:  # fmt: skip
     if config.peer_listen is None or not config.peers or not config.messages:
-        log.info("peers", extra={"outcome": "off", "what": "not allowed or none listed"})
+        log.info("peers", extra={"outcome": "off", "what": "messages not allowed or no peers listed"})
         return None
-    return Gathering(config, pieces, clock, tell, recorder)
+    return PeerExchange(config, features, clock, notify, recorder)
--- a/damsonstream/program/own.py
+++ b/damsonstream/program/own.py
@@ -1,6 +1,6 @@
-"""What a gateway itself needs of the command line, on argparse: serve, check-config, version.
+"""The commands that run without the tools' libraries: serve, check-config and version, based on argparse.
 
-How it is called: `run(arguments)`, of which the first is one of `COMMANDS`, returns the exit code.
+Usage: `run(arguments)` returns the exit code; the first argument is one of `COMMANDS`.
 """
 
 from __future__ import annotations
@@ -17,75 +17,84 @@
 
 
 def run(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="damsonstream", description="A gateway before tiers of caches.")
+    parser = argparse.ArgumentParser(
+        prog="damsonstream", description="A gateway in front of tiers of caches."
+    )
     commands = parser.add_subparsers(dest="command", required=True)
-    for name, what in (
+    for name, description in (
         ("serve", "run one gateway"),
-        ("check-config", "read the configuration and say what it holds"),
+        ("check-config", "check the configuration and print a summary"),
     ):
-        command = commands.add_parser(name, help=what, description=what)
+        command = commands.add_parser(name, help=description, description=description)
         command.add_argument(
             "--config", default=os.environ.get("ROUTER_CONFIG"), help="default: ROUTER_CONFIG"
         )
         if name == "serve":
             command.add_argument("--log-level", default="info", choices=("debug", "info", "warning", "error"))
-        what = "the operator's own settings, a KDL file; without it all of them are off"
-        command.add_argument("--operator", help=what)
+        description = (
+            "KDL file with the operator's settings; without it the features that it configures are off"
+        )
+        command.add_argument("--operator", help=description)
     commands.add_parser("version", help="print the version")
-    chosen = parser.parse_args(arguments)
-    if chosen.command == "version":
+    options = parser.parse_args(arguments)
+    if options.command == "version":
         print(f"damsonstream {__version__}")
         return 0
     try:
-        told = config.read(chosen.config)
-        if chosen.operator:
-            check_operator(chosen.operator)
-    except config.Unusable as fault:
-        print(fault, file=sys.stderr)
+        loaded = config.read(options.config)
+        if options.operator:
+            check_operator(options.operator)
+    except config.ConfigError as error:
+        print(error, file=sys.stderr)
         return 2
-    if chosen.command == "check-config":
-        services = ", ".join(service.name for service in told.footprint.services)
-        print(f"{told.name} listens on {told.listen[0]}:{told.listen[1]}; delivery services: {services}; "
-              f"{told.sockets} descriptors, {told.memory_mb} MB; events known: {told.last}")  # fmt: skip
+    if options.command == "check-config":
+        services = ", ".join(service.name for service in loaded.footprint.services)
+        print(f"{loaded.name} listens on {loaded.listen[0]}:{loaded.listen[1]}; "
+              f"delivery services: {services}; {loaded.sockets} descriptors, {loaded.memory_mb} MB; "
+              f"last known event: {loaded.last}")  # fmt: skip
         return 0
-    return serve(told, chosen.log_level, chosen.operator)
+    return serve(loaded, options.log_level, options.operator)
 
 
 def check_operator(path: str) -> None:
     from damsonstream.settings import kdl, operator
 
     try:
-        told = operator.read(path)
-        if told.tiers is not None:
+        settings = operator.read(path)
+        if settings.tiers is not None:
             from damsonstream.tiers import checks, load
 
-            for wrong in checks.check(load.load(str(told.tiers))):
-                raise config.Unusable(f"{told.tiers}: {wrong.kind}: {wrong.what}")
-    except kdl.Fault as fault:
-        raise config.Unusable(str(fault)) from fault
+            for problem in checks.check(load.load(str(settings.tiers))):
+                raise config.ConfigError(f"{settings.tiers}: {problem.kind}: {problem.what}")
+    except kdl.Fault as error:
+        raise config.ConfigError(str(error)) from error
 
 
-def serve(told: config.Config, level: str, operator_file: str | None) -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it is taken: it must not end a gateway that starts
-    import anyio  # check-config and the bench need neither
+def serve(loaded: config.Config, level: str, operator_file: str | None) -> int:
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # ignored until the server handles it: it must not end a starting gateway
+    import anyio  # imported late, as are the following: check-config and the bench do not need them
 
     from damsonstream.program.serve import Server
 
-    logs.begin(level)
-    recorder, pieces, tiers = None, None, ""
-    if operator_file:  # nothing of records and peers is loaded where they are off
+    logs.configure(level)
+    recorder, features, hierarchy_path = None, None, ""
+    if operator_file:  # modules for records and peers are imported only if enabled
         from damsonstream.settings import operator
 
-        wanted = operator.read(operator_file)
-        pieces, tiers = wanted.peers, str(wanted.tiers or "")
-        if wanted.records is not None:
+        settings = operator.read(operator_file)
+        features, hierarchy_path = settings.peers, str(settings.tiers or "")
+        if settings.records is not None:
             from damsonstream.program import recording
 
-            recorder = recording.begin(told, wanted)
+            recorder = recording.start_recorder(loaded, settings)
     try:
-        anyio.run(Server(told, recorder, pieces, tiers).run, backend_options={"use_uvloop": True})
-    except config.Unusable as fault:
-        print(fault, file=sys.stderr)
+        anyio.run(
+            Server(loaded, recorder, features, hierarchy_path).run, backend_options={"use_uvloop": True}
+        )
+    except config.ConfigError as error:
+        print(error, file=sys.stderr)
         return 2
     finally:
         if recorder is not None:
--- a/damsonstream/program/recording.py
+++ b/damsonstream/program/recording.py
@@ -1,7 +1,8 @@
-"""Begins and ends the recording of one gateway, where its operator wants that.
+"""Starts the recording of events at one gateway if the operator's settings enable it.
 
-How it is called: `begin(config, operator)` gives a `Recorder` whose thread runs, or None where it is off or
-can't be begun: a folder that can't be used is one log line, and no reason not to serve.
+Usage: `start_recorder(config, operator)` returns a `Recorder` whose writer thread is running, or None if
+records are disabled or their folder is unusable. The latter is logged and does not prevent the gateway from
+serving.
 """
 
 from __future__ import annotations
@@ -18,17 +19,19 @@
 log = logging.getLogger(__name__)
 
 
-def begin(config: Config, operator: Operator) -> Recorder | None:
-    told = operator.records
-    if told is None:
+def start_recorder(config: Config, operator: Operator) -> Recorder | None:
+    settings = operator.records
+    if settings is None:
         return None
     try:
-        writer = Writer(told.folder, config.name, told.limits)
-    except OSError as fault:
-        log.error("records", extra={"outcome": "off", "folder": str(told.folder), "what": str(fault)})
+        writer = Writer(settings.folder, config.name, settings.limits)
+    except OSError as error:
+        log.error("records", extra={"outcome": "off", "folder": str(settings.folder), "what": str(error)})
         return None
     start = time.time_ns() // NS
-    recorder = Recorder(writer, moved(told.shift, told.drift, start) if told.shift or told.drift else None)
+    recorder = Recorder(
+        writer, moved(settings.shift, settings.drift, start) if settings.shift or settings.drift else None
+    )
     recorder.began(start, config.name, __version__, config.footprint, config.drain_grace, config.purge_grace)
     writer.start()
     log.info("records", extra={"outcome": "on", "folder": str(writer.folder), "boot": writer.boot})
--- a/damsonstream/program/serve.py
+++ b/damsonstream/program/serve.py
@@ -1,7 +1,7 @@
-"""One gateway: wires the layers together, follows signals, and ends when it is idle after SIGTERM.
+"""The server process of one gateway: connects the layers, handles signals, and shuts down after SIGTERM.
 
-SIGHUP reads the configuration file again: the bulletin's address is taken over at once, the rest at a
-restart.
+SIGTERM and SIGINT end the process once no GET is open. SIGHUP reloads the configuration file: a new address
+of the bulletin takes effect at once, other changes need a restart. SIGUSR1 logs the counters.
 """
 
 from __future__ import annotations
@@ -18,218 +18,245 @@
 import anyio
 
 from damsonstream.program import config as configuration
-from damsonstream.program.config import Config, Unusable
+from damsonstream.program.config import Config, ConfigError
 from damsonstream.program.counters import Counters
 from damsonstream.protocol import bulletin, fastcgi, resp
 from damsonstream.routing import life
 from damsonstream.routing.gateway import TENTHS, Clock, Gateway
 from damsonstream.routing.interface import PeersTold
-from damsonstream.transport.caches import Caches
-from damsonstream.transport.feed import Feed
-from damsonstream.transport.front import Answer, Front
+from damsonstream.transport.caches import CacheConnections
+from damsonstream.transport.feed import DiscoveryWatch
+from damsonstream.transport.front import Answer, ClientListener
 
-if TYPE_CHECKING:  # only loaded where they are on: idle memory of a gateway must not rise
-    from damsonstream.program.gathering import Gathering
-    from damsonstream.program.tiering import Tiering
+if TYPE_CHECKING:  # imported at run time only if enabled, to keep the idle memory of a gateway small
+    from damsonstream.program.gathering import PeerExchange
+    from damsonstream.program.tiering import HierarchyManager
     from damsonstream.records.recorder import Recorder
 
 log = logging.getLogger(__name__)
-RESERVED = (
-    32  # descriptors that neither clients nor caches get: standard ones, the loop's, bulletin, listener
-)
-CLIENTS = 3  # clients hold one part in so many, the protocol's
-CACHE_BYTES = (
-    4  # a connection to a cache may hold one part of an object: all take a part in so many of the memory
-)
-CLIENT_BYTES = 4  # answers that wait for slow clients take one part in so many of the memory
-MB = 1 << 20
-GARBAGE = (
-    20_000,
-    10,
-    50,
-)  # new objects between collections: GETs leave few cycles, so that most find nothing
-LINGER = 0.7  # seconds for which GETs still come after SIGTERM, the protocol's
-
-HEALTH, PREFIX = b"/healthz", b"/v1/"
-# The forms of the clients' fields, the protocol's: what has another goes to no cache, which would close on it
-HEX, TOKEN = re.compile(rb"[0-9a-f]{16}"), re.compile(rb"[0-9a-f]{32}")
-MOST_GROUP, MOST_PART = 255, 99_999  # a part holds 240,000 bytes: so many are 24 GB
+# File descriptors not used for clients and caches: standard streams, event loop, bulletin, listener.
+RESERVED_DESCRIPTORS = 32
+CLIENT_DESCRIPTOR_DIVISOR = 3  # clients get a third of the descriptors; set by the protocol
+# A quarter of the memory is for the buffers of cache connections, each of which may hold one object.
+CACHE_MEMORY_DIVISOR = 4
+CLIENT_MEMORY_DIVISOR = 4  # a quarter of the memory is for answers that slow clients have not read
+BYTES_PER_MB = 1 << 20
+# Garbage collection is rarer than by default, because GETs create few reference cycles to collect.
+GC_THRESHOLDS = (20_000, 10, 50)
+SHUTDOWN_GRACE_S = 0.7  # GETs are still accepted for this long after SIGTERM; set by the protocol
+
+HEALTH_PATH, SERVICE_PREFIX = b"/healthz", b"/v1/"
+# Formats of the clients' fields, set by the protocol. Other values are never forwarded: a cache closes the
+# connection on them.
+ID_PATTERN, TOKEN_PATTERN = re.compile(rb"[0-9a-f]{16}"), re.compile(rb"[0-9a-f]{32}")
+MAX_GROUP, MAX_SEGMENT = 255, 99_999  # a segment holds 240,000 bytes: 24 GB in total
 
 
 class Server:
+    """One gateway with its listener, cache connections, router and optional parts."""
+
     def __init__(
-        self, config: Config, recorder: Recorder | None = None, pieces: frozenset[str] | None = None,
-        tiers: str = "",
+        self, config: Config, recorder: Recorder | None = None, features: frozenset[str] | None = None,
+        hierarchy_path: str = "",
     ) -> None:  # fmt: skip
-        """`pieces` of what gateways decide together; None: this one decides alone. `tiers`: the hierarchy's
-        file; empty: none."""
+        """`features` are the peer features that are enabled; None: the gateway works alone. `hierarchy_path`
+        is the file of the cache hierarchy; empty: none."""
         self.config, self.counters, self.recorder = config, Counters(), recorder
         count = self.counters.add
-        memory = config.memory_mb * MB
-        clients = config.sockets // CLIENTS
-        cache_most = min(config.sockets - clients - RESERVED, memory // CACHE_BYTES // resp.MOST_BODY)
-        clock, self.gathering = Clock(), None
-        if pieces is not None:
-            self.gathering = self.join(pieces, clock)
-        fleet = self.gathering.council if self.gathering is not None else None
-        self.tiering = self.hierarchy(tiers, clock, pieces) if tiers else None
-        service = self.tiering.service if self.tiering is not None else None
-        self.gateway = Gateway(config.seed, config.footprint, clock, recorder, fleet, service)
-        self.caches = Caches(
-            max(1, cache_most), config.streams, config.connect_timeout, config.idle - 1.0, count
+        memory_bytes = config.memory_mb * BYTES_PER_MB
+        client_limit = config.sockets // CLIENT_DESCRIPTOR_DIVISOR
+        cache_limit = min(
+            config.sockets - client_limit - RESERVED_DESCRIPTORS,
+            memory_bytes // CACHE_MEMORY_DIVISOR // resp.MAX_BODY_BYTES,
+        )
+        clock, self.peer_exchange = Clock(), None
+        if features is not None:
+            self.peer_exchange = self.create_peer_exchange(features, clock)
+        coordinator = self.peer_exchange.coordinator if self.peer_exchange is not None else None
+        self.hierarchy = self.create_hierarchy(hierarchy_path, clock, features) if hierarchy_path else None
+        service = self.hierarchy.service if self.hierarchy is not None else None
+        self.gateway = Gateway(config.seed, config.footprint, clock, recorder, coordinator, service)
+        self.cache_connections = CacheConnections(
+            max(1, cache_limit), config.streams, config.connect_timeout, config.idle - 1.0, count
+        )
+        if self.peer_exchange is not None:
+            self.cache_connections.keeps_idle = self.peer_exchange.keeps_idle
+        self.listener = ClientListener(
+            max(1, client_limit), memory_bytes // CLIENT_MEMORY_DIVISOR, self.open_get, count
         )
-        if self.gathering is not None:
-            self.caches.keeps = self.gathering.keeps
-        self.front = Front(max(1, clients), memory // CLIENT_BYTES, self.open_get, count)
         self.services = {service.name.encode(): n for n, service in enumerate(config.footprint.services)}
-        self.lives = life.Lives(self.gateway, self.caches.send)
+        self.get_tasks = life.Lives(self.gateway, self.cache_connections.send)
         models = config.footprint.models
-        self.feed = Feed(config.feed, config.last, config.locations, models, self.told, count)
-        self.ready = anyio.Event()  # the listener is up, the list is known
+        self.discovery = DiscoveryWatch(
+            config.feed, config.last, config.locations, models, self.on_bulletin_event, count
+        )
+        self.ready = anyio.Event()  # the listener is open and the list of caches has been applied
         for event in config.known:
-            self.told(event, 0)
+            self.on_bulletin_event(event, 0)
 
-    def join(self, pieces: frozenset[str], clock: Clock) -> Gathering | None:
+    def create_peer_exchange(self, features: frozenset[str], clock: Clock) -> PeerExchange | None:
         from damsonstream.program import gathering
 
-        # the gateway is made after it, and told by it only once it runs
-        def tell(told: PeersTold) -> None:
-            self.gateway.tell(told)
+        # self.gateway is created later, but before the exchange sends the first notification
+        def notify(event: PeersTold) -> None:
+            self.gateway.tell(event)
 
-        return gathering.begin(self.config, pieces, clock, tell, self.recorder)
+        return gathering.create_peer_exchange(self.config, features, clock, notify, self.recorder)
 
-    def hierarchy(self, path: str, clock: Clock, pieces: frozenset[str] | None) -> Tiering:
+    def create_hierarchy(self, path: str, clock: Clock, features: frozenset[str] | None) -> HierarchyManager:
         from damsonstream.program import tiering
         from damsonstream.settings import kdl
 
         try:
-            return tiering.begin(path, self.config, self.gathering, clock, pieces, self.recorder)
-        except kdl.Fault as fault:
-            raise Unusable(str(fault)) from fault
+            return tiering.create_hierarchy_manager(
+                path, self.config, self.peer_exchange, clock, features, self.recorder
+            )
+        except kdl.Fault as error:
+            raise ConfigError(str(error)) from error
 
-    def told(self, event: bulletin.Event, number: int) -> None:
+    def on_bulletin_event(self, event: bulletin.Event, number: int) -> None:
+        """Passes an event of the bulletin to all parts; `number` is 0 for events from the configuration."""
         if isinstance(event, bulletin.ListChanged):
-            self.caches.listed(event)
-            if self.gathering is not None:
-                self.gathering.listed(event)
-            if self.tiering is not None:
-                self.tiering.listed(event)
+            self.cache_connections.update_list(event)
+            if self.peer_exchange is not None:
+                self.peer_exchange.update_list(event)
+            if self.hierarchy is not None:
+                self.hierarchy.update_list(event)
         if self.recorder is not None:
             self.recorder.news(self.gateway.clock.now(), number, event)
         self.gateway.told(event)
 
-    def open_get(self, taken: fastcgi.Taken, answer: Answer) -> life.Get | None:
-        """A GET's fields; its life, or at once the answer of what needs none."""
-        script, fields = taken.fields.get(b"SCRIPT_NAME", b""), taken.fields
-        if script == HEALTH:
-            answer(fastcgi.answer(taken.id, b"200 OK", [(b"Content-Type", b"text/plain")], b"ready\n"))
+    def open_get(self, request: fastcgi.Request, send_answer: Answer) -> life.Get | None:
+        """Validates a GET and starts its task. Health checks and rejected GETs are answered at once, and None
+        is returned."""
+        path, fields = request.fields.get(b"SCRIPT_NAME", b""), request.fields
+        if path == HEALTH_PATH:
+            send_answer(
+                fastcgi.encode_answer(request.id, b"200 OK", [(b"Content-Type", b"text/plain")], b"ready\n")
+            )
             return None
         self.counters.add("taken")
         if len(self.gateway.inboxes) >= self.config.most_open:
             self.counters.add("shed")
-            self.turned(fields, "shed", "overloaded")
-            answer(fastcgi.ended(taken.id, fastcgi.OVERLOADED))
+            self.record_rejection(fields, "shed", "overloaded")
+            send_answer(fastcgi.end_request(request.id, fastcgi.OVERLOADED))
             return None
 
-        def final(done: life.Final) -> None:
-            self.counters.add(done.outcome)
-            answer(self.words(taken.id, done))
+        def finish(final: life.Final) -> None:
+            self.counters.add(final.outcome)
+            send_answer(self.encode_final(request.id, final))
 
         try:
-            name = script.removeprefix(PREFIX)
-            ident, thing = fields[b"HTTP_X_TXN"], fields[b"HTTP_X_ROW"]
+            name = path.removeprefix(SERVICE_PREFIX)
+            ident, object_id = fields[b"HTTP_X_TXN"], fields[b"HTTP_X_ROW"]
             token = fields.get(b"HTTP_X_TXN_KEY", b"")
-            part, left = fields.get(b"HTTP_X_SLICE", b"0"), whole(fields[b"HTTP_X_TTL_MS"])
-            group = whole(fields[b"HTTP_X_SET"])
+            segment, time_left_ms = fields.get(b"HTTP_X_SLICE", b"0"), parse_uint(fields[b"HTTP_X_TTL_MS"])
+            group = parse_uint(fields[b"HTTP_X_SET"])
             service = self.services[name]
-            told = self.config.footprint.services[service]
-            if not (HEX.fullmatch(ident) and HEX.fullmatch(thing)) or ident in self.lives.idents:
-                raise ValueError  # an id that is open already would be taken for that one
-            if whole(part) > MOST_PART or not 0 < left * TENTHS <= told.viewer_timeout or group > MOST_GROUP:
+            settings = self.config.footprint.services[service]
+            if (
+                not (ID_PATTERN.fullmatch(ident) and ID_PATTERN.fullmatch(object_id))
+                or ident in self.get_tasks.idents
+            ):
+                raise ValueError  # a second GET with an open id would be confused with the first
+            if (
+                parse_uint(segment) > MAX_SEGMENT
+                or not 0 < time_left_ms * TENTHS <= settings.viewer_timeout
+                or group > MAX_GROUP
+            ):
                 raise ValueError
-            if not TOKEN.fullmatch(token) if told.effect == "tokened" else token:
+            if not TOKEN_PATTERN.fullmatch(token) if settings.effect == "tokened" else token:
                 raise ValueError
         except (KeyError, ValueError):
             self.counters.add("unusable")
-            self.turned(fields, "errored", "unusable")
-            final(life.Final("errored"))
+            self.record_rejection(fields, "errored", "unusable")
+            finish(life.Final("errored"))
             return None
-        holds = fields.get(b"HTTP_X_SEEN", b"").removeprefix(b"W/").strip(b'"')
-        same = resp.fields(name, thing, part, token, holds if usable(holds) else b"")
-        repeated = fields.get(b"HTTP_X_SECOND_TRY", b"") == b"1"
-        get = life.Get(ident, service, thing.decode(), group, left, repeated, same, taken.body)
-        self.lives.begin(get, final)
+        version = fields.get(b"HTTP_X_SEEN", b"").removeprefix(b"W/").strip(b'"')
+        forward_fields = resp.forward_fields(
+            name, object_id, segment, token, version if is_field_value(version) else b""
+        )
+        is_retry = fields.get(b"HTTP_X_SECOND_TRY", b"") == b"1"
+        get = life.Get(
+            ident, service, object_id.decode(), group, time_left_ms, is_retry, forward_fields, request.body
+        )
+        self.get_tasks.begin(get, finish)
         return get
 
-    def turned(self, fields: dict[bytes, bytes], outcome: str, reason: str) -> None:
+    def record_rejection(self, fields: dict[bytes, bytes], outcome: str, reason: str) -> None:
         if self.recorder is not None:
             ident = fields.get(b"HTTP_X_TXN", b"")
             self.recorder.turned(self.gateway.clock.now(), ident, outcome, reason)
 
-    def words(self, id: int, final: life.Final) -> bytes:
+    def encode_final(self, id: int, final: life.Final) -> bytes:
         match final.outcome:
             case "returned" if final.same:
-                return fastcgi.answer(id, b"200 OK", [(b"X-Current", b"1"), (b"Content-Length", b"0")], b"")
+                return fastcgi.encode_answer(
+                    id, b"200 OK", [(b"X-Current", b"1"), (b"Content-Length", b"0")], b""
+                )
             case "returned":
-                return fastcgi.answer(
+                return fastcgi.encode_answer(
                     id, b"200 OK", [(b"Content-Length", b"%d" % len(final.body))], final.body
                 )
             case "shed":
-                wait = [(b"X-Throttle-Ms", b"%d" % final.come_back_ms)] if final.come_back_ms else []
-                return fastcgi.answer(id, b"503 Service Unavailable", wait, b"")
-        return fastcgi.answer(id, b"500 Internal Server Error", [], b"")
-
-    def report(self) -> None:
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        self.counters.peak("rss_mb", used.ru_maxrss // 1024)
-        self.counters.peak("cpu_s", round(used.ru_utime + used.ru_stime, 2))
+                headers = [(b"X-Throttle-Ms", b"%d" % final.come_back_ms)] if final.come_back_ms else []
+                return fastcgi.encode_answer(id, b"503 Service Unavailable", headers, b"")
+        return fastcgi.encode_answer(id, b"500 Internal Server Error", [], b"")
+
+    def log_counters(self) -> None:
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        self.counters.record_peak("rss_mb", usage.ru_maxrss // 1024)
+        self.counters.record_peak("cpu_s", round(usage.ru_utime + usage.ru_stime, 2))
         records = self.recorder.counts() if self.recorder is not None else {}
-        peers = self.gathering.council.counts() if self.gathering is not None else {}
-        log.info("counters", extra={**self.counters.lines(), **records, **peers})
+        peers = self.peer_exchange.coordinator.counts() if self.peer_exchange is not None else {}
+        log.info("counters", extra={**self.counters.values(), **records, **peers})
 
-    def reloaded(self, outcome: str, what: str) -> None:
+    def record_reload(self, outcome: str, what: str) -> None:
         if self.recorder is not None:
             self.recorder.reloaded(self.gateway.clock.now(), outcome, what)
 
-    async def pulse(self, recorder: Recorder) -> None:
-        """Each second, that the gateway lives: a reader tells a quiet one from one that has stopped."""
+    async def record_heartbeats(self, recorder: Recorder) -> None:
+        """Writes a heartbeat record each second, so that readers can tell an idle gateway from a stopped
+        one."""
         while True:
             recorder.pulse(self.gateway.clock.now(), len(self.gateway.inboxes))
             await anyio.sleep(1.0)
 
     def reload(self) -> None:
-        """SIGHUP: a file that can't be used changes nothing, whatever is wrong with it."""
+        """Reloads the configuration on SIGHUP. An invalid file is logged and changes nothing."""
         try:
-            fresh = configuration.read(self.config.path)
-        except Unusable as fault:
+            loaded = configuration.read(self.config.path)
+        except ConfigError as error:
             self.counters.add("reload.unusable")
-            log.error("reload", extra={"outcome": "unusable", "what": str(fault)})
-            self.reloaded("unusable", str(fault))
+            log.error("reload", extra={"outcome": "unusable", "what": str(error)})
+            self.record_reload("unusable", str(error))
         except Exception:
             self.counters.add("reload.unusable")
             log.exception("reload", extra={"outcome": "unusable"})
         else:
             self.counters.add("reload.used")
-            restart = ",".join(configuration.restarts(self.config, fresh)) or "-"
-            log.info("reload", extra={"outcome": "used", "bulletin": fresh.feed, "restart_for": restart})
-            self.reloaded("used", fresh.feed)
-            self.feed.move(fresh.feed)
-            if self.gathering is not None:
-                self.gathering.moved(fresh)
-        if self.tiering is not None:
-            self.reloaded(*self.tiering.reload())
-
-    async def signals(self, received: AsyncIterator[signal.Signals], scope: anyio.CancelScope) -> None:
+            restart_required = ",".join(configuration.restart_fields(self.config, loaded)) or "-"
+            log.info(
+                "reload", extra={"outcome": "used", "bulletin": loaded.feed, "restart_for": restart_required}
+            )
+            self.record_reload("used", loaded.feed)
+            self.discovery.set_address(loaded.feed)
+            if self.peer_exchange is not None:
+                self.peer_exchange.apply_config(loaded)
+        if self.hierarchy is not None:
+            self.record_reload(*self.hierarchy.reload())
+
+    async def handle_signals(self, received: AsyncIterator[signal.Signals], scope: anyio.CancelScope) -> None:
         async for number in received:
             if number == signal.SIGUSR1:
-                self.report()
+                self.log_counters()
                 continue
             if number == signal.SIGHUP:
                 self.reload()
                 continue
-            until = time.monotonic() + LINGER
-            log.info("leaving", extra={"signal": number.name, "open": self.front.open})
-            while time.monotonic() < until or self.front.open:
+            deadline = time.monotonic() + SHUTDOWN_GRACE_S
+            log.info("leaving", extra={"signal": number.name, "open": self.listener.open_count})
+            while time.monotonic() < deadline or self.listener.open_count:
                 await anyio.sleep(0.02)
             scope.cancel()
             return
@@ -237,54 +264,56 @@
     async def run(self) -> None:
         config, (host, port) = self.config, self.config.listen
         try:
-            server = await self.front.listen(host, port)
-        except OSError as fault:
-            raise Unusable(f"The field listen, {host}:{port}, can't be listened on: {fault}.") from fault
+            server = await self.listener.listen(host, port)
+        except OSError as error:
+            raise ConfigError(
+                f"Cannot listen on {host}:{port}, the address in the field listen: {error}."
+            ) from error
         try:
-            if self.gathering is not None:
-                await self.gathering.open()
-        except OSError as fault:
-            raise Unusable(f"The field peer_listen can't be listened on: {fault}.") from fault
-        taken = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
-        with anyio.open_signal_receiver(*taken) as received:  # before anyone can see that it is ready
-            async with anyio.create_task_group() as group:
-                self.lives.group = group
-                group.start_soon(self.signals, received, group.cancel_scope)
+            if self.peer_exchange is not None:
+                await self.peer_exchange.open()
+        except OSError as error:
+            raise ConfigError(f"Cannot listen on the address in the field peer_listen: {error}.") from error
+        handled_signals = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
+        with anyio.open_signal_receiver(*handled_signals) as received:  # before readiness is visible
+            async with anyio.create_task_group() as tasks:
+                self.get_tasks.group = tasks
+                tasks.start_soon(self.handle_signals, received, tasks.cancel_scope)
                 self.gateway.keep_time()
-                group.start_soon(self.caches.run)
-                group.start_soon(self.front.sweep)
-                group.start_soon(self.feed.follow)
+                tasks.start_soon(self.cache_connections.run)
+                tasks.start_soon(self.listener.sweep)
+                tasks.start_soon(self.discovery.run)
                 if self.recorder is not None:
-                    group.start_soon(self.pulse, self.recorder)
-                if self.gathering is not None:
-                    group.start_soon(self.gathering.run)
-                if self.tiering is not None:
-                    group.start_soon(self.tiering.run)
+                    tasks.start_soon(self.record_heartbeats, self.recorder)
+                if self.peer_exchange is not None:
+                    tasks.start_soon(self.peer_exchange.run)
+                if self.hierarchy is not None:
+                    tasks.start_soon(self.hierarchy.run)
                 gc.collect()
-                gc.freeze()  # what was read at the start stays
-                gc.set_threshold(*GARBAGE)
+                gc.freeze()  # objects created at startup live until the end
+                gc.set_threshold(*GC_THRESHOLDS)
                 self.ready.set()
-                known = {"listen": f"{host}:{port}", "known": config.last}
-                log.info("ready", extra={"name_": config.name, **known})
+                fields = {"listen": f"{host}:{port}", "known": config.last}
+                log.info("ready", extra={"name_": config.name, **fields})
         server.close()
-        if self.gathering is not None:
-            self.gathering.close()
-        for connection in (*self.front.clients, *self.caches.open):
+        if self.peer_exchange is not None:
+            self.peer_exchange.close()
+        for connection in (*self.listener.clients, *self.cache_connections.open_connections):
             connection.end("stopped", flush=True)
-        await anyio.sleep(0.01)  # each leaves its line
+        await anyio.sleep(0.01)  # lets each connection log its close
         if self.recorder is not None:
             self.recorder.stopped(self.gateway.clock.now(), "signal")
             self.recorder.writer.close()
-        self.report()
+        self.log_counters()
 
 
-def whole(text: bytes) -> int:
-    """A whole number of the clients' wire: digits and nothing else."""
+def parse_uint(text: bytes) -> int:
+    """Parses an unsigned integer of at most nine digits; raises ValueError for anything else."""
     if not text.isdigit() or len(text) > 9:
         raise ValueError
     return int(text)
 
 
-def usable(text: bytes) -> bool:
-    """Whether it can stand in a list of fields of the caches' wire."""
+def is_field_value(text: bytes) -> bool:
+    """Returns whether a text may be used as a value in a field list of the caches' protocol."""
     return 0 < len(text) <= 64 and text.isalnum()
--- a/damsonstream/program/tiering.py
+++ b/damsonstream/program/tiering.py
@@ -1,8 +1,9 @@
-"""Puts the operator's hierarchy in service at one gateway: its file, the bulletin's word, time.
+"""Applies the operator's cache hierarchy at one gateway, and updates it on reloads, list changes and timers.
 
-How it is called: `begin(path, config, gathering, clock, pieces, recorder)` gives a `Tiering` whose `service`
-the router asks, or raises `settings.kdl.Fault`; `listed()` is told of the list, `reload()` reads the file
-again (SIGHUP), and `run()` goes on as a task.
+Usage: `create_hierarchy_manager(path, config, peer_exchange, clock, features, recorder)` returns a
+`HierarchyManager`, whose `service` the router queries, or raises `settings.kdl.Fault`. `update_list()`
+receives changes of the list of caches, `reload()` reads the file again (SIGHUP), and `run()` is the
+background task.
 """
 
 from __future__ import annotations
@@ -21,97 +22,105 @@
 from damsonstream.tiers.service import Alone, Service
 from damsonstream.tiers.shape import Shape
 
-if TYPE_CHECKING:  # loaded where they are on
-    from damsonstream.program.gathering import Gathering
+if TYPE_CHECKING:  # imported at run time only if enabled
+    from damsonstream.program.gathering import PeerExchange
     from damsonstream.records.recorder import Recorder
 
 log = logging.getLogger(__name__)
-TICK = 1_000  # tenths of a millisecond between looks at the zones: a tenth of the doubt before a loss
-RECORD = 10_000  # between records of what is believed, where nothing changes
+# Tenths of a millisecond between updates of the zones: a tenth of the time for which a zone is suspected
+# before it counts as lost.
+TICK_INTERVAL = 1_000
+RECORD_INTERVAL = 10_000  # tenths of a millisecond between records of an unchanged state
 
 
-class Tiering:
+class HierarchyManager:
+    """The cache hierarchy of one gateway. `service` is its current revision in use."""
+
     def __init__(
-        self, path: str, config: Config, gathering: Gathering | None, clock: Clock,
-        pieces: frozenset[str] | None, recorder: Recorder | None,
+        self, path: str, config: Config, peer_exchange: PeerExchange | None, clock: Clock,
+        features: frozenset[str] | None, recorder: Recorder | None,
     ) -> None:  # fmt: skip
         self.path, self.clock, self.recorder = path, clock, recorder
-        common = gathering.council if gathering is not None else Alone(config.footprint.gateways)
-        bounded = pieces is None or ZONES in pieces
-        self.service = Service(common, config.place, clock.now(), bounded)
-        self.noted: dict[str, str] = {}  # states as they were logged last, by zone
-        self.noted_at = 0
-        self.listed_before: set[str] = set()  # nodes of the list, to see who has gone without a word
+        coordinator = (
+            peer_exchange.coordinator if peer_exchange is not None else Alone(config.footprint.gateways)
+        )
+        coordinated = features is None or ZONES in features
+        self.service = Service(coordinator, config.place, clock.now(), coordinated)
+        self.logged_states: dict[str, str] = {}  # by zone
+        self.recorded_at = 0
+        self.known_nodes: set[str] = set()  # listed nodes, to detect those that a new full list omits
 
     def apply(self, shape: Shape) -> str:
-        """Puts it in service; why not, where it can't be used: then all stays."""
-        refused = self.service.apply(self.clock.now(), shape)
-        return str(refused) if refused is not None else ""
+        """Applies a revision of the hierarchy. Returns the reason if it is refused, in which case nothing
+        changes; otherwise an empty string."""
+        refusal = self.service.apply(self.clock.now(), shape)
+        return str(refusal) if refusal is not None else ""
 
     def reload(self) -> tuple[str, str]:
-        """Outcome and what."""
+        """Reads the file again; returns the outcome and a description for the record."""
         revision = self.service.revisions.latest
         try:
             shape = load.load(self.path)
-            if shape.revision == revision:  # the signal was for something else
+            if shape.revision == revision:  # SIGHUP was sent for another file
                 return "used", f"revision {revision} as before"
-            wrong = self.apply(shape)
-        except kdl.Fault as fault:
-            wrong = str(fault)
-        if wrong:
-            log.error("tiers", extra={"outcome": "refused", "revision": revision, "what": wrong})
-            return "refused", wrong
+            problem = self.apply(shape)
+        except kdl.Fault as error:
+            problem = str(error)
+        if problem:
+            log.error("tiers", extra={"outcome": "refused", "revision": revision, "what": problem})
+            return "refused", problem
         revision = self.service.revisions.latest
         log.info("tiers", extra={"outcome": "used", "revision": revision})
         return "used", f"revision {revision}"
 
-    def listed(self, event: bulletin.ListChanged) -> None:
+    def update_list(self, event: bulletin.ListChanged) -> None:
         states = {entry.cache: entry.state for entry in event.entries}
         if event.whole:
-            for name in self.listed_before - states.keys():
+            for name in self.known_nodes - states.keys():
                 self.service.told(name, "left")
-            self.listed_before = set(states)
+            self.known_nodes = set(states)
         else:
-            self.listed_before |= states.keys()
+            self.known_nodes |= states.keys()
         for name, state in states.items():
             self.service.told(name, state)
 
-    def note(self, now: int) -> None:
-        """Logs each zone's state as it changes, and records all of them then and each second."""
+    def record_state(self, now: int) -> None:
+        """Logs each change of a zone's state; records all zones on changes and each `RECORD_INTERVAL`."""
         service = self.service
-        told = {zone: service.common.zone_state(now, zone) for zone in sorted(service.shape.zones)}
-        states = {zone: state for zone, (state, _, _) in told.items()}
-        changed = states != self.noted
-        for zone, state in states.items() if changed else ():
-            if self.noted.get(zone, "Well") != state:
-                log.info("zone", extra={"zone": zone, "what": state, "flaps": told[zone][2]})
-        if self.recorder is not None and (changed or now - self.noted_at >= RECORD):
+        zone_states = {zone: service.common.zone_state(now, zone) for zone in sorted(service.shape.zones)}
+        states = {zone: state for zone, (state, _, _) in zone_states.items()}
+        changed = states != self.logged_states
+        for zone, state in states.items() if changed else ():  # "Well" is the state of a healthy zone
+            if self.logged_states.get(zone, "Well") != state:
+                log.info("zone", extra={"zone": zone, "what": state, "flaps": zone_states[zone][2]})
+        if self.recorder is not None and (changed or now - self.recorded_at >= RECORD_INTERVAL):
             near = service.near
-            spilt = [(a, b, count, near.limit(b)) for (a, b), count in sorted(near.spilt.items())]
+            spilled = [(a, b, count, near.limit(b)) for (a, b), count in sorted(near.spilt.items())]
             held_back = sum(near.held_back.values())
-            zones = [(zone, *one) for zone, one in told.items()]
-            self.recorder.zones(now, service.revisions.latest, zones, spilt, held_back)
-            self.noted_at = now
-        self.noted = states
+            zones = [(zone, *zone_state) for zone, zone_state in zone_states.items()]
+            self.recorder.zones(now, service.revisions.latest, zones, spilled, held_back)
+            self.recorded_at = now
+        self.logged_states = states
 
     async def run(self) -> None:
+        """Updates the zones periodically. Never returns."""
         while True:
-            await anyio.sleep(TICK / (1000 * TENTHS))
+            await anyio.sleep(TICK_INTERVAL / (1000 * TENTHS))
             try:
                 now = self.clock.now()
                 self.service.tick(now)
-                self.note(now)
+                self.record_state(now)
             except Exception:
                 log.exception("tiers")
                 await anyio.sleep(1.0)
 
 
-def begin(
-    path: str, config: Config, gathering: Gathering | None, clock: Clock, pieces: frozenset[str] | None,
-    recorder: Recorder | None = None,
-) -> Tiering:  # fmt: skip
-    made = Tiering(path, config, gathering, clock, pieces, recorder)
-    if wrong := made.apply(load.load(path)):
-        raise kdl.Fault(path, 0, "", wrong)
-    log.info("tiers", extra={"outcome": "on", "revision": made.service.revisions.latest})
-    return made
+def create_hierarchy_manager(
+    path: str, config: Config, peer_exchange: PeerExchange | None, clock: Clock,
+    features: frozenset[str] | None, recorder: Recorder | None = None,
+) -> HierarchyManager:  # fmt: skip
+    manager = HierarchyManager(path, config, peer_exchange, clock, features, recorder)
+    if problem := manager.apply(load.load(path)):
+        raise kdl.Fault(path, 0, "", problem)
+    log.info("tiers", extra={"outcome": "on", "revision": manager.service.revisions.latest})
+    return manager
--- a/damsonstream/protocol/bulletin.py
+++ b/damsonstream/protocol/bulletin.py
@@ -1,9 +1,9 @@
-"""The bulletin: numbered events of the list of caches and of purges, as bytes or JSON in and events out.
+"""Codec of the bulletin, a stream of numbered events: changes of the list of caches, and purges.
 
-How it is called: `known(told, zones, models)` reads the events of the start from the configuration;
-`Decoder(last, ...).feed(data)` yields the events that come after number `last`, and raises `Broken` where the
-bytes can't be followed; `hello(last)` asks for them.
-No sockets, no clock: times stay Unix milliseconds here.
+Usage: `initial_events(section)` decodes the events that the configuration contains, as JSON.
+`subscribe_request(last)` encodes the request for the events after number `last`, and the `feed(data)` method
+of `Decoder(last, ...)` yields them; it raises `ProtocolError` on malformed input. The module does no I/O and
+reads no clock. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -13,138 +13,147 @@
 from struct import Struct
 from typing import Any
 
-HEAD = Struct(">IQB")
-RECORD = Struct(">I4sHBBBHIQ")
-PURGE = Struct(">QQ")
+FRAME_HEADER = Struct(">IQB")
+LIST_ENTRY = Struct(">I4sHBBBHIQ")
+OBJECT_PURGE = Struct(">QQ")
 GROUP_PURGE = Struct(">HQ")
 STATES = ("active", "leaving", "left")
-STATE_WORDS = {"ready": "active", "draining": "leaving", "gone": "left"}
-MOST = 1 << 20  # bytes of a frame: a list of 38,000 caches
+STATE_BY_NAME = {"ready": "active", "draining": "leaving", "gone": "left"}
+MAX_FRAME_BYTES = 1 << 20  # a list of 38,000 caches
 
 
-class Broken(Exception):
-    """The bulletin's bytes can't be followed."""
+class ProtocolError(Exception):
+    """Malformed or unexpected data from the bulletin."""
 
 
 @dataclass(slots=True, frozen=True)
 class Listed:
-    """One line of the list of caches."""
+    """One entry of the list of caches."""
 
     cache: str
     address: str  # host:port
     location: str
     state: str
-    units: float
-    cell: int
+    units: float  # capacity, in units of the capacity hint
+    cell: int  # number of its pod group
     model: str
-    started_ms: int  # Unix ms, 0: long ago
+    started_ms: int  # Unix ms; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
 class ListChanged:
-    whole: bool
+    """New entries of the list of caches."""
+
+    whole: bool  # a full list rather than a change
     entries: tuple[Listed, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class PurgeTold:
-    thing: str  # empty: the whole group
-    group: int
+    """A purge of one object or of one group of objects."""
+
+    thing: str  # id of the object; empty: the whole group
+    group: int  # -1: a purge of one object
     issued_ms: int
 
 
 Event = ListChanged | PurgeTold
 
 
-def hello(last: int) -> bytes:
+def subscribe_request(last: int) -> bytes:
     return last.to_bytes(8, "big")
 
 
-def known(told: dict[str, Any]) -> tuple[int, list[Event]]:
-    """The events of the start, as JSON holds them, and the number of the last."""
+def initial_events(section: dict[str, Any]) -> tuple[int, list[Event]]:
+    """Decodes the `known` section of the configuration: the number of the last event, and the events."""
     events: list[Event] = []
-    for item in told["items"]:
+    for item in section["items"]:
         if "roster" in item:
             roster = item["roster"]
             entries = tuple(
                 Listed(
-                    cache=line["uid"],
-                    address=line["endpoint"],
-                    location=line.get("az", ""),
-                    state=STATE_WORDS[line["state"]],
-                    units=float(line.get("capacity_hint", 1)),
-                    cell=int(line.get("pod_group", 0)),
-                    model=line.get("model", ""),
-                    started_ms=int(line.get("boot_ms", 0)),
+                    cache=entry["uid"],
+                    address=entry["endpoint"],
+                    location=entry.get("az", ""),
+                    state=STATE_BY_NAME[entry["state"]],
+                    units=float(entry.get("capacity_hint", 1)),
+                    cell=int(entry.get("pod_group", 0)),
+                    model=entry.get("model", ""),
+                    started_ms=int(entry.get("boot_ms", 0)),
                 )
-                for line in roster["targets"]
+                for entry in roster["targets"]
             )
             events.append(ListChanged(bool(roster["all"]), entries))
         elif "recall" in item:
             purge = item["recall"]
             events.append(PurgeTold(purge.get("item", ""), int(purge.get("lot", -1)), int(purge["issued"])))
-    return int(told["no"]), events
+    return int(section["no"]), events
 
 
 class Decoder:
-    """One connection's frames, from the event after `last` on."""
+    """Decodes the frames of one connection, beginning with the event after `last_event`.
+
+    `locations` and `models` give the names for the indexes that frames contain.
+    """
 
     def __init__(self, last: int, locations: tuple[str, ...], models: tuple[str, ...]) -> None:
-        self.last, self.locations, self.models = last, locations, models
-        self.buffer = bytearray()  # less than one frame; emptied as frames are whole
+        self.last_event, self.locations, self.models = last, locations, models
+        self.buffer = bytearray()  # an incomplete frame
 
     def feed(self, data: bytes) -> Iterator[Event]:
         self.buffer += data
-        at, end = 0, len(self.buffer)
-        while end - at >= HEAD.size:
-            length, number, kind = HEAD.unpack_from(self.buffer, at)
-            if not 9 <= length <= MOST:
-                raise Broken("bad length")
-            if end - at < 4 + length:
+        offset, end = 0, len(self.buffer)
+        while end - offset >= FRAME_HEADER.size:
+            length, number, kind = FRAME_HEADER.unpack_from(self.buffer, offset)
+            if not 9 <= length <= MAX_FRAME_BYTES:
+                raise ProtocolError("bad length")
+            if end - offset < 4 + length:
                 break
-            payload = bytes(memoryview(self.buffer)[at + HEAD.size : at + 4 + length])
-            at += 4 + length
-            if kind == 0 or number <= self.last:
-                continue  # nothing new, or told before
-            if number != self.last + 1:
-                raise Broken("an event is missing")
-            event = self.event(kind, payload)
-            self.last = number
+            payload = bytes(memoryview(self.buffer)[offset + FRAME_HEADER.size : offset + 4 + length])
+            offset += 4 + length
+            if kind == 0 or number <= self.last_event:
+                continue  # a heartbeat, or an event that was received before
+            if number != self.last_event + 1:
+                raise ProtocolError("gap in the event numbers")
+            event = self.decode_event(kind, payload)
+            self.last_event = number
             yield event
-        del self.buffer[:at]
-
-    def event(self, kind: int, payload: bytes) -> Event:
-        if kind in (1, 2) and len(payload) % RECORD.size == 0:
-            return ListChanged(kind == 1, tuple(self.entry(*line) for line in RECORD.iter_unpack(payload)))
-        if kind == 3 and len(payload) == PURGE.size:
-            thing, issued = PURGE.unpack(payload)
-            return PurgeTold(f"{thing:016x}", -1, issued)
+        del self.buffer[:offset]
+
+    def decode_event(self, kind: int, payload: bytes) -> Event:
+        if kind in (1, 2) and len(payload) % LIST_ENTRY.size == 0:
+            return ListChanged(
+                kind == 1, tuple(self.decode_entry(*fields) for fields in LIST_ENTRY.iter_unpack(payload))
+            )
+        if kind == 3 and len(payload) == OBJECT_PURGE.size:
+            object_id, issued = OBJECT_PURGE.unpack(payload)
+            return PurgeTold(f"{object_id:016x}", -1, issued)
         if kind == 4 and len(payload) == GROUP_PURGE.size:
             group, issued = GROUP_PURGE.unpack(payload)
             return PurgeTold("", group, issued)
-        raise Broken("unknown frame")
+        raise ProtocolError("unknown frame")
 
-    def entry(
+    def decode_entry(
         self,
-        id: int,
-        address: bytes,
+        cache_id: int,
+        ipv4: bytes,
         port: int,
         state: int,
         zone: int,
-        kind: int,
+        model: int,
         cell: int,
         weight: int,
-        started: int,
+        started_ms: int,
     ) -> Listed:
-        if state >= len(STATES) or zone >= len(self.locations) or kind >= len(self.models):
-            raise Broken("unknown place in a list")
+        if state >= len(STATES) or zone >= len(self.locations) or model >= len(self.models):
+            raise ProtocolError("unknown state, zone or model in a list entry")
         return Listed(
-            cache=f"s-{id:08x}",
-            address=f"{'.'.join(map(str, address))}:{port}",
+            cache=f"s-{cache_id:08x}",
+            address=f"{'.'.join(map(str, ipv4))}:{port}",
             location=self.locations[zone],
             state=STATES[state],
             units=weight / 1000,
             cell=cell,
-            model=self.models[kind],
-            started_ms=started,
+            model=self.models[model],
+            started_ms=started_ms,
         )
--- a/damsonstream/protocol/fastcgi.py
+++ b/damsonstream/protocol/fastcgi.py
@@ -1,8 +1,8 @@
-"""FastCGI 1.0, role Responder, as bytes in and messages out. No sockets, no clock.
+"""Codec of FastCGI 1.0 for the Responder role. It does no I/O and reads no clock.
 
-How it is called: `Decoder().feed(data)` returns the messages that `data` completes, in order; `answer()` and
-`ended()` give the bytes of an answer. A record that can't be followed raises `Broken`, with a reason code.
-Parameters and bodies stay the bytes that came.
+Usage: `Decoder().feed(data)` returns the messages that `data` completes, in order. `encode_answer()` and
+`end_request()` encode an answer. Malformed records raise `ProtocolError` with a reason code. Parameters and
+bodies are passed on as raw bytes.
 """
 
 from __future__ import annotations
@@ -11,84 +11,86 @@
 from struct import Struct
 
 HEADER = Struct(">BBHHBx")
-END_BODY = Struct(">IB3x")
+END_REQUEST_BODY = Struct(">IB3x")
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT = 1, 2, 3, 4, 5, 6
 GET_VALUES, GET_VALUES_RESULT, UNKNOWN_TYPE = 9, 10, 11
 RESPONDER, KEEP_CONN = 1, 1
-COMPLETE, CANT_MPX_CONN, OVERLOADED, UNKNOWN_ROLE = 0, 1, 2, 3
-CONTENT = 65_528  # most bytes in a record we write: the largest that needs no padding to 8
+REQUEST_COMPLETE, CANT_MPX_CONN, OVERLOADED, UNKNOWN_ROLE = 0, 1, 2, 3
+MAX_RECORD_CONTENT = 65_528  # of a record that is sent: the largest size that needs no padding to 8 bytes
 
-MOST_OPEN = 32  # open ids on one connection, the protocol's
-MOST_PARAMS = 16_384  # bytes of parameters of one GET: ten short fields and what a web server adds
-MOST_BODY = 48_000  # bytes that a write brings, the protocol's
-MOST_COMING = 262_144  # bytes of all GETs that come in at once on a connection: five whole writes
-MOST_VALUES = 1024  # of a GET_VALUES query: three short names are defined
+MAX_OPEN_REQUESTS = 32  # on one connection; set by the protocol
+MAX_PARAMS_BYTES = 16_384  # of one GET: ten short fields and what a web server adds
+MAX_BODY_BYTES = 48_000  # of a write; set by the protocol
+MAX_PARTIAL_BYTES = 262_144  # of all partly received GETs of a connection: five complete writes
+MAX_GET_VALUES_BYTES = 1024  # of a GET_VALUES query; only three short names are defined
 
 
-class Broken(Exception):
-    """The peer's bytes can't be followed; the text is the reason code."""
+class ProtocolError(Exception):
+    """Malformed data from the peer; the text is the reason code."""
 
 
 @dataclass(slots=True)
-class Taken:
-    """A GET that has come whole."""
+class Request:
+    """A completely received GET."""
 
     id: int
     fields: dict[bytes, bytes]
     body: bytes
-    keep: bool
+    keep_connection: bool
 
 
 @dataclass(slots=True)
-class Aborted:
+class RequestAborted:
+    """The client has aborted a GET that was completely received."""
+
     id: int
 
 
 @dataclass(slots=True)
-class Back:
-    """Bytes that the specification wants sent back at once."""
+class ManagementReply:
+    """An encoded reply that the specification requires to be sent at once."""
 
     data: bytes
 
 
-Message = Taken | Aborted | Back
+Message = Request | RequestAborted | ManagementReply
 
 
 @dataclass(slots=True)
-class Opening:
-    """A GET that is still coming in."""
+class PartialRequest:
+    """A partly received GET."""
 
-    keep: bool
+    keep_connection: bool
     params: bytearray = field(default_factory=bytearray)
     body: bytearray = field(default_factory=bytearray)
     fields: dict[bytes, bytes] | None = None
-    size: int = 0  # bytes that came, until it is whole
+    received_bytes: int = 0  # of parameters and body so far
 
 
-def pairs(data: bytes) -> dict[bytes, bytes]:
-    """Name-value pairs, each length in one byte or in four."""
-    found: dict[bytes, bytes] = {}
-    at, end = 0, len(data)
+def parse_pairs(data: bytes) -> dict[bytes, bytes]:
+    """Decodes name-value pairs, in which each length takes one byte or four."""
+    result: dict[bytes, bytes] = {}
+    offset, end = 0, len(data)
     try:
-        while at < end:
-            name, value, at = data[at], data[at + 1], at + 2
-            if name & 0x80 or value & 0x80:  # one of them has four bytes
-                at -= 2
-                name, at = length(data, at)
-                value, at = length(data, at)
-            middle, after = at + name, at + name + value
-            found[data[at:middle]] = data[middle:after]
-            at = after
+        while offset < end:
+            name_length, value_length, offset = data[offset], data[offset + 1], offset + 2
+            if name_length & 0x80 or value_length & 0x80:  # at least one length takes four bytes
+                offset -= 2
+                name_length, offset = parse_length(data, offset)
+                value_length, offset = parse_length(data, offset)
+            value_start, value_end = offset + name_length, offset + name_length + value_length
+            result[data[offset:value_start]] = data[value_start:value_end]
+            offset = value_end
     except IndexError:
-        at = end + 1
-    if at != end:
-        raise Broken("bad-params")
-    return found
+        offset = end + 1
+    if offset != end:
+        raise ProtocolError("bad-params")
+    return result
 
 
-def length(data: bytes, at: int) -> tuple[int, int]:
-    step = 4 if data[at] & 0x80 else 1
-    return int.from_bytes(data[at : at + step], "big") & 0x7FFFFFFF, at + step
+def parse_length(data: bytes, offset: int) -> tuple[int, int]:
+    width = 4 if data[offset] & 0x80 else 1
+    return int.from_bytes(data[offset : offset + width], "big") & 0x7FFFFFFF, offset + width
 
 
 def pair(name: bytes, value: bytes) -> bytes:
@@ -101,109 +103,112 @@
     return HEADER.pack(1, kind, id, len(content), -len(content) % 8) + content + bytes(-len(content) % 8)
 
 
-def ended(id: int, status: int = COMPLETE) -> bytes:
-    return record(END, id, END_BODY.pack(0, status))
+def end_request(id: int, status: int = REQUEST_COMPLETE) -> bytes:
+    return record(END, id, END_REQUEST_BODY.pack(0, status))
 
 
-def answer(id: int, status: bytes, fields: list[tuple[bytes, bytes]], body: bytes) -> bytes:
-    """A whole CGI response in STDOUT records, and the end."""
-    head = b"Status: %b\r\n" % status + b"".join(b"%b: %b\r\n" % pair for pair in fields) + b"\r\n"
-    parts = [record(STDOUT, id, head)]
+def encode_answer(id: int, status: bytes, fields: list[tuple[bytes, bytes]], body: bytes) -> bytes:
+    """Encodes a complete CGI response as STDOUT records, followed by the end of the request."""
+    headers = b"Status: %b\r\n" % status + b"".join(b"%b: %b\r\n" % pair for pair in fields) + b"\r\n"
+    parts = [record(STDOUT, id, headers)]
     view = memoryview(body)
-    for at in range(0, len(body), CONTENT):
-        content = view[at : at + CONTENT]
-        pad = -len(content) % 8
-        parts += (HEADER.pack(1, STDOUT, id, len(content), pad), content, bytes(pad))  # type: ignore[arg-type]
-    parts += (record(STDOUT, id), ended(id))
+    for offset in range(0, len(body), MAX_RECORD_CONTENT):
+        content = view[offset : offset + MAX_RECORD_CONTENT]
+        padding = -len(content) % 8
+        parts += (HEADER.pack(1, STDOUT, id, len(content), padding), content, bytes(padding))  # type: ignore[arg-type]
+    parts += (record(STDOUT, id), end_request(id))
     return b"".join(parts)
 
 
 class Decoder:
-    """One connection's records. `done(id)` says that an id's answer has been given and it is free again."""
+    """Decodes the records of one connection. `release_id()` frees the id of a GET that has been answered."""
 
     def __init__(self) -> None:
-        self.rest = b""  # less than one record, emptied as records are whole
-        self.opening: dict[int, Opening] = {}  # GETs still coming in; emptied as they are whole or aborted
-        self.open: set[int] = set()  # GETs taken; emptied by done()
-        self.coming = 0  # bytes held of GETs still coming in
+        self.buffer = b""  # an incomplete record
+        self.partial_requests: dict[int, PartialRequest] = {}  # partly received GETs by id
+        self.open_ids: set[int] = set()  # ids of received GETs without an answer; removed by release_id()
+        self.partial_bytes = 0  # size of all partly received GETs
 
     @property
-    def half(self) -> bool:
-        """Whether a record or a GET has come in part."""
-        return bool(self.rest or self.opening)
+    def incomplete(self) -> bool:
+        """Whether a record or a GET has been received in part."""
+        return bool(self.buffer or self.partial_requests)
 
-    def done(self, id: int) -> None:
-        self.open.discard(id)
+    def release_id(self, id: int) -> None:
+        self.open_ids.discard(id)
 
     def feed(self, data: bytes) -> list[Message]:
-        if self.rest:
-            data = self.rest + data
-        found: list[Message] = []
-        at, end = 0, len(data)
-        while end - at >= 8:
-            version, kind, id, size, padding = HEADER.unpack_from(data, at)
+        if self.buffer:
+            data = self.buffer + data
+        messages: list[Message] = []
+        offset, end = 0, len(data)
+        while end - offset >= 8:
+            version, kind, id, size, padding = HEADER.unpack_from(data, offset)
             if version != 1:
-                raise Broken("bad-record")
-            after = at + 8 + size + padding
-            if after > end:
+                raise ProtocolError("bad-record")
+            record_end = offset + 8 + size + padding
+            if record_end > end:
                 break
-            content = data[at + 8 : at + 8 + size]
-            at = after
-            message = self.manage(kind, content) if id == 0 else self.take(kind, id, content)
+            content = data[offset + 8 : offset + 8 + size]
+            offset = record_end
+            message = (
+                self.handle_management(kind, content) if id == 0 else self.handle_record(kind, id, content)
+            )
             if message is not None:
-                found.append(message)
-        self.rest = data[at:]
-        return found
+                messages.append(message)
+        self.buffer = data[offset:]
+        return messages
 
-    def manage(self, kind: int, content: bytes) -> Message:
+    def handle_management(self, kind: int, content: bytes) -> Message:
+        """Returns the reply to a management record, which has the id 0."""
         if kind != GET_VALUES:
-            return Back(record(UNKNOWN_TYPE, 0, bytes([kind]) + bytes(7)))
-        if len(content) > MOST_VALUES:
-            raise Broken("oversize")
-        known = {b"FCGI_MAX_REQS": b"%d" % MOST_OPEN, b"FCGI_MPXS_CONNS": b"1"}
-        wanted = b"".join(pair(name, known[name]) for name in pairs(content) if name in known)
-        return Back(record(GET_VALUES_RESULT, 0, wanted))
-
-    def take(self, kind: int, id: int, content: bytes) -> Message | None:
+            return ManagementReply(record(UNKNOWN_TYPE, 0, bytes([kind]) + bytes(7)))
+        if len(content) > MAX_GET_VALUES_BYTES:
+            raise ProtocolError("oversize")
+        variables = {b"FCGI_MAX_REQS": b"%d" % MAX_OPEN_REQUESTS, b"FCGI_MPXS_CONNS": b"1"}
+        values = b"".join(pair(name, variables[name]) for name in parse_pairs(content) if name in variables)
+        return ManagementReply(record(GET_VALUES_RESULT, 0, values))
+
+    def handle_record(self, kind: int, id: int, content: bytes) -> Message | None:
         if kind == BEGIN:
-            return self.begin(id, content)
-        if kind == ABORT and (id in self.opening or id in self.open):
-            if (opening := self.opening.pop(id, None)) is not None:
-                self.coming -= opening.size
-                return Back(ended(id))  # it was never taken
-            return Aborted(id)
-        opening = self.opening.get(id)
-        if opening is None or kind not in (PARAMS, STDIN):
-            return None  # of an id that is over, or a stream that a Responder has no use for
-        opening.size += len(content)
-        self.coming += len(content)
-        if self.coming > MOST_COMING:
-            raise Broken("oversize")
-        if kind == PARAMS and opening.fields is None:
-            opening.params += content
-            if len(opening.params) > MOST_PARAMS:
-                raise Broken("oversize")
+            return self.begin_request(id, content)
+        if kind == ABORT and (id in self.partial_requests or id in self.open_ids):
+            if (partial := self.partial_requests.pop(id, None)) is not None:
+                self.partial_bytes -= partial.received_bytes
+                return ManagementReply(end_request(id))  # it was not received completely
+            return RequestAborted(id)
+        partial = self.partial_requests.get(id)
+        if partial is None or kind not in (PARAMS, STDIN):
+            return None  # an unknown id, or a stream that a Responder does not use
+        partial.received_bytes += len(content)
+        self.partial_bytes += len(content)
+        if self.partial_bytes > MAX_PARTIAL_BYTES:
+            raise ProtocolError("oversize")
+        if kind == PARAMS and partial.fields is None:
+            partial.params += content
+            if len(partial.params) > MAX_PARAMS_BYTES:
+                raise ProtocolError("oversize")
             if not content:
-                opening.fields, opening.params = pairs(bytes(opening.params)), bytearray()
+                partial.fields, partial.params = parse_pairs(bytes(partial.params)), bytearray()
         elif kind == STDIN:
-            opening.body += content
-            if len(opening.body) > MOST_BODY:
-                raise Broken("oversize")
-            if not content and opening.fields is not None:
-                del self.opening[id]
-                self.coming -= opening.size
-                self.open.add(id)
-                return Taken(id, opening.fields, bytes(opening.body), opening.keep)
+            partial.body += content
+            if len(partial.body) > MAX_BODY_BYTES:
+                raise ProtocolError("oversize")
+            if not content and partial.fields is not None:
+                del self.partial_requests[id]
+                self.partial_bytes -= partial.received_bytes
+                self.open_ids.add(id)
+                return Request(id, partial.fields, bytes(partial.body), partial.keep_connection)
         return None
 
-    def begin(self, id: int, content: bytes) -> Message | None:
+    def begin_request(self, id: int, content: bytes) -> Message | None:
         if len(content) != 8:
-            raise Broken("bad-record")
-        if id in self.opening or id in self.open:  # an end under this id would pass for the open GET's answer
-            raise Broken("busy-id")
+            raise ProtocolError("bad-record")
+        if id in self.partial_requests or id in self.open_ids:  # its end would pass for that of the open GET
+            raise ProtocolError("busy-id")
         if int.from_bytes(content[:2], "big") != RESPONDER:
-            return Back(ended(id, UNKNOWN_ROLE))
-        if len(self.opening) + len(self.open) >= MOST_OPEN:
-            return Back(ended(id, OVERLOADED))
-        self.opening[id] = Opening(bool(content[2] & KEEP_CONN))
+            return ManagementReply(end_request(id, UNKNOWN_ROLE))
+        if len(self.partial_requests) + len(self.open_ids) >= MAX_OPEN_REQUESTS:
+            return ManagementReply(end_request(id, OVERLOADED))
+        self.partial_requests[id] = PartialRequest(bool(content[2] & KEEP_CONN))
         return None
--- a/damsonstream/protocol/resp.py
+++ b/damsonstream/protocol/resp.py
@@ -1,21 +1,22 @@
-"""The commands of caches in RESP arrays of bulk strings, as bytes in and messages out. No sockets, no clock.
+"""Codec of the caches' protocol, whose commands and answers are RESP arrays of bulk strings. It does no I/O
+and reads no clock.
 
-How it is called: `forward()` and `stop()` give the bytes of a command; `Decoder().feed(data)` returns the
-answers that `data` completes. Where bytes can't be followed `broken` says why, after the good answers that
-came before them, and nothing more is taken in. Wire names end here.
+Usage: `forward()` and `stop()` encode a command. `Decoder().feed(data)` returns the answers that `data`
+completes. After malformed input, the answers before it are returned, `error` holds the reason, and all
+further input is ignored. This module maps the names of the wire to those used elsewhere in the code.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MOST_BODY = 240_000  # bytes of an object, the protocol's
-MOST_WORD = 4_096  # bytes of any other string: ids, words and fields are short
-MOST_LINE = 16  # bytes of a length line
-MOST_LOAD = 1e6  # of a gauge: what is more, or no number, tells nothing
-MOST_TIME = 10**9  # milliseconds told to have been waited
+MAX_BODY_BYTES = 240_000  # of an object; set by the protocol
+MAX_STRING_BYTES = 4_096  # of any other string; ids, result words and fields are short
+MAX_LENGTH_LINE_BYTES = 16  # of a line with a length
+MAX_LOAD = 1e6  # larger values of a gauge, and those that are no number, are ignored
+MAX_WAIT_MS = 10**9  # of the waiting time that an answer reports
 
-RESULTS = {
+RESULT_BY_WORD = {
     b"served": "returned",
     b"still_good": "returned",
     b"not_here": "lacking",
@@ -23,40 +24,44 @@
     b"crashed": "errored",
     b"nobody": "unsent",
 }
+# How a cache produced its answer. `Answer.note` holds the position, counted from 1; 0: not reported.
 NOTES = (b"hit", b"filled", b"via_origin", b"joined", b"stale", b"src_refused", b"src_broke", b"src_lacks",
          b"no_slot", b"origin_failed")  # fmt: skip
 NOTE = {word: place for place, word in enumerate(NOTES, 1)}
-LOADS = {b"inflight": "held", b"concurrent": "held", b"util": "busy", b"load_share": "busy", b"x0": "hits",
-         b"x1": "link"}  # fmt: skip
+# Gauges that answers report, and the names by which the router knows them. "held": open requests of the
+# cache, "busy": share of its cores, "hits": hit ratio, "link": load of the link into its location, 1 if it is
+# just full.
+LOAD_BY_GAUGE = {b"inflight": "held", b"concurrent": "held", b"util": "busy", b"load_share": "busy",
+                 b"x0": "hits", b"x1": "link"}  # fmt: skip
 
 
-class Broken(Exception):
-    """The cache's bytes can't be followed."""
+class ProtocolError(Exception):
+    """Malformed data from a cache."""
 
 
 @dataclass(slots=True)
 class Answer:
-    """What a cache answered under an id."""
+    """The answer of a cache to the forward with this identifier."""
 
     ident: bytes
-    result: str
-    note: int
-    waited_ms: int
+    result: str  # returned, lacking (not in this cache), shed, errored or unsent
+    note: int  # index into NOTES, counted from 1; 0: none
+    waited_ms: int  # reported time spent waiting for the source; 0: not reported
     load: dict[str, float] = field(default_factory=dict)
-    same: bool = False  # the client's copy is the one
-    stamp: int = 0  # Unix millisecond at which the origin gave this copy out, 0: not told
+    same: bool = False  # the copy that the client holds is current, and no body is sent
+    stamp: int = 0  # Unix ms at which the origin sent this copy; 0: unknown
     body: bytes = b""
 
 
 @dataclass(slots=True, frozen=True)
 class Lost:
-    """A forward that ended without an answer: unreached, broken, unsent, expired or recalled."""
+    """The result of a forward without an answer: unreached, broken, unsent, expired or recalled."""
 
     result: str
-    shared: bool = False  # it was lost with others on its connection, of which another is told unshared
+    shared: bool = False  # lost together with another forward of its connection, whose result is not shared
 
 
-def bulks(*parts: bytes) -> bytes:
+def array(*parts: bytes) -> bytes:
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
@@ -73,7 +78,13 @@
     renew: bool,
     copies: bool,
 ) -> bytes:
-    """A forward; `same` holds the fields that every forward of the GET has, from `fields()`."""
+    """Encodes a forward. `same` holds the fields common to all forwards of a GET, from `forward_fields()`.
+
+    `wait_ms` is the time limit, `source` the node to fill from, `rank` the retention rank of the copy,
+    `age_ms` the maximum age of a copy. `join` lets the cache join a fill in progress, `renew` asks it to
+    refresh its copy, and `copies` restricts the source to copies that it holds. Empty and 0 leave a field
+    out.
+    """
     text = f",ms={wait_ms}"
     if source:
         text += f",fetch={source}"
@@ -81,99 +92,100 @@
         text += f",retain={rank}"
     if age_ms:
         text += f",newer={age_ms}"
-    how = [word for word, on in (("collapse", join), ("only-if-cached", copies), ("refresh", renew)) if on]
-    if how:
-        text += f",handle={'+'.join(how)}"
-    return bulks(b"REQ", ident, same + text.encode(), body)
+    modes = [word for word, on in (("collapse", join), ("only-if-cached", copies), ("refresh", renew)) if on]
+    if modes:
+        text += f",handle={'+'.join(modes)}"
+    return array(b"REQ", ident, same + text.encode(), body)
 
 
-def fields(service: bytes, thing: bytes, part: bytes, token: bytes, holds: bytes) -> bytes:
-    """The fields that go on unchanged."""
-    text = b"kind=%b,obj=%b,seg=%b" % (service, thing, part)
-    return text + (b",token=%b" % token if token else b"") + (b",holds=%b" % holds if holds else b"")
+def forward_fields(service: bytes, object_id: bytes, segment: bytes, token: bytes, version: bytes) -> bytes:
+    """Encodes the fields that are the same in every forward of a GET; `version` is that of the client's
+    copy."""
+    text = b"kind=%b,obj=%b,seg=%b" % (service, object_id, segment)
+    return text + (b",token=%b" % token if token else b"") + (b",holds=%b" % version if version else b"")
 
 
 def stop(ident: bytes) -> bytes:
-    return bulks(b"STOP", ident)
+    return array(b"STOP", ident)
 
 
-def parse(parts: list[bytes]) -> Answer:
-    if len(parts) != 4 or parts[1] not in RESULTS:
-        raise Broken("unknown answer")
-    ident, word, listed, body = parts
-    told = dict(pair.partition(b"=")[::2] for pair in listed.split(b",")) if listed != b"-" else {}
+def parse_answer(parts: list[bytes]) -> Answer:
+    if len(parts) != 4 or parts[1] not in RESULT_BY_WORD:
+        raise ProtocolError("unknown answer")
+    ident, word, field_list, body = parts
+    values = dict(pair.partition(b"=")[::2] for pair in field_list.split(b",")) if field_list != b"-" else {}
     try:
-        gauges = (pair.partition(b":")[::2] for pair in told.get(b"gauges", b"").split(b";") if pair)
-        load = {LOADS[name]: float(value) for name, value in gauges if name in LOADS}
-        waited, stamp = int(float(told.get(b"took") or 0)), int(told.get(b"stamp") or 0)
-    except (ValueError, OverflowError) as fault:
-        raise Broken(f"bad field: {fault}") from fault
-    if not 0 <= waited <= MOST_TIME or stamp < 0:
-        raise Broken("bad field: out of range")
-    load = {name: value for name, value in load.items() if 0 <= value <= MOST_LOAD}  # nan is neither
-    same, note = word == b"still_good", NOTE.get(told.get(b"res", b""), 0)
-    return Answer(ident, RESULTS[word], note, waited, load, same, stamp, body)
+        gauges = (pair.partition(b":")[::2] for pair in values.get(b"gauges", b"").split(b";") if pair)
+        load = {LOAD_BY_GAUGE[name]: float(value) for name, value in gauges if name in LOAD_BY_GAUGE}
+        waited, stamp = int(float(values.get(b"took") or 0)), int(values.get(b"stamp") or 0)
+    except (ValueError, OverflowError) as error:
+        raise ProtocolError(f"bad field: {error}") from error
+    if not 0 <= waited <= MAX_WAIT_MS or stamp < 0:
+        raise ProtocolError("bad field: out of range")
+    load = {name: value for name, value in load.items() if 0 <= value <= MAX_LOAD}  # excludes NaN
+    same, note = word == b"still_good", NOTE.get(values.get(b"res", b""), 0)
+    return Answer(ident, RESULT_BY_WORD[word], note, waited, load, same, stamp, body)
 
 
 class Decoder:
-    """One connection's answers, whatever pieces they come in."""
+    """Decodes the answers of one connection, from input of any fragmentation."""
 
     def __init__(self) -> None:
-        self.buffer = bytearray()  # less than one answer; emptied as answers are whole
-        self.parts: list[bytes] = []  # strings of the answer that is coming in
-        self.wanted = 0  # strings still to come, 0: an array begins next
-        self.size = -1  # of the string that is coming in, -1: its length line is next
-        self.broken = ""  # why nothing more is taken in
+        self.buffer = bytearray()  # unparsed input, less than one answer
+        self.strings: list[bytes] = []  # strings of the partly received answer
+        self.strings_left = 0  # strings of it still missing; 0: an array begins next
+        self.string_bytes = -1  # size of the string to read; -1: its length line is next
+        self.error = ""  # reason why input is ignored; empty: it is not
 
     @property
-    def half(self) -> bool:
-        """Whether an answer has come in part."""
-        return bool(self.buffer) or self.wanted > 0
+    def incomplete(self) -> bool:
+        """Whether an answer has been received in part."""
+        return bool(self.buffer) or self.strings_left > 0
 
     def feed(self, data: bytes) -> list[Answer]:
-        found: list[Answer] = []
-        if not self.broken:
+        answers: list[Answer] = []
+        if not self.error:
             self.buffer += data
             try:
-                self.take(found)
-            except Broken as fault:
-                self.broken = str(fault)
+                self.parse_buffer(answers)
+            except ProtocolError as error:
+                self.error = str(error)
                 self.buffer.clear()
-        return found
+        return answers
 
-    def take(self, found: list[Answer]) -> None:
-        at = 0
+    def parse_buffer(self, answers: list[Answer]) -> None:
+        offset = 0
         while True:
-            if self.size >= 0:
-                end = at + self.size
+            if self.string_bytes >= 0:
+                end = offset + self.string_bytes
                 if len(self.buffer) < end + 2:
                     break
                 if self.buffer[end : end + 2] != b"\r\n":
-                    raise Broken("no end of a string")
-                self.parts.append(bytes(memoryview(self.buffer)[at:end]))
-                at, self.size, self.wanted = end + 2, -1, self.wanted - 1
-                if not self.wanted:
-                    found.append(parse(self.parts))
-                    self.parts = []
+                    raise ProtocolError("bulk string without CRLF")
+                self.strings.append(bytes(memoryview(self.buffer)[offset:end]))
+                offset, self.string_bytes, self.strings_left = end + 2, -1, self.strings_left - 1
+                if not self.strings_left:
+                    answers.append(parse_answer(self.strings))
+                    self.strings = []
                 continue
-            end = self.buffer.find(b"\r\n", at, at + MOST_LINE)
+            end = self.buffer.find(b"\r\n", offset, offset + MAX_LENGTH_LINE_BYTES)
             if end < 0:
-                if len(self.buffer) - at >= MOST_LINE:
-                    raise Broken("no end of a line")
+                if len(self.buffer) - offset >= MAX_LENGTH_LINE_BYTES:
+                    raise ProtocolError("length line without CRLF")
                 break
-            self.length(bytes(self.buffer[at:end]))
-            at = end + 2
-        del self.buffer[:at]
-
-    def length(self, line: bytes) -> None:
-        sign, digits = line[:1], line[1:]
-        if not digits.isdigit() or sign != (b"$" if self.wanted else b"*"):
-            raise Broken("bad length")
-        if not self.wanted:
-            self.wanted = int(digits)
-            if self.wanted != 4:
-                raise Broken("unknown answer")
+            self.parse_length(bytes(self.buffer[offset:end]))
+            offset = end + 2
+        del self.buffer[:offset]
+
+    def parse_length(self, line: bytes) -> None:
+        prefix, digits = line[:1], line[1:]
+        if not digits.isdigit() or prefix != (b"$" if self.strings_left else b"*"):
+            raise ProtocolError("bad length")
+        if not self.strings_left:
+            self.strings_left = int(digits)
+            if self.strings_left != 4:
+                raise ProtocolError("unknown answer")
             return
-        self.size = int(digits)
-        if self.size > (MOST_BODY if self.wanted == 1 else MOST_WORD):
-            raise Broken("oversize")
+        self.string_bytes = int(digits)
+        if self.string_bytes > (MAX_BODY_BYTES if self.strings_left == 1 else MAX_STRING_BYTES):
+            raise ProtocolError("oversize")
--- a/damsonstream/transport/caches.py
+++ b/damsonstream/transport/caches.py
@@ -1,7 +1,9 @@
-"""Connections to the caches: many forwards on each, opened as needed, within the descriptors left to them.
+"""Connection pools to the caches. Connections carry many concurrent forwards and are opened on demand, within
+the number of file descriptors available to them.
 
-How it is called: `listed()` tells addresses, `send()` puts a forward out and returns its leg, whose end is
-told once; `leg.stop()` gives it up, and nothing more is told. `run()` keeps the connections.
+Usage: `update_list()` applies changes of the list of caches. `send()` sends a forward and returns a handle;
+its callback is called once with the result. `handle.stop()` cancels the forward, after which the callback is
+not called. `run()` is the background task that opens connections and closes idle or unresponsive ones.
 """
 
 from __future__ import annotations
@@ -20,107 +22,119 @@
 from damsonstream.transport.link import Link
 
 log = logging.getLogger(__name__)
-# Seconds without a byte in the middle of an answer after which its connection is of no use: an object at the
-# pace that is told takes under a second in all. Guards against answers that stop short and hold up others.
-STALLED = 1.0
-# Seconds without a byte since a forward went out after which a connection takes no new ones, and ends once
-# none is left: what is out may still be answered. Guards against one that stays open and is of no use: every
-# trial of a cache went out on it, so that its breaker never closed. Costs one more where a cache thinks long.
-QUIET = 1.0
-PASSING = 1.0  # seconds without use for which one is kept to a cache that others look after
-SWEEP = 0.25  # seconds between looks at the connections
-UNREAD = 1 << 18  # bytes that a cache has not read: a connection with more takes nothing new
-SPENT = 256  # idents remembered as over on a connection: late answers to them come within a few GETs' time
-Ending = resp.Answer | resp.Lost
+# A connection on which no byte arrives for this long in the middle of an answer is closed: an answer that
+# stops short blocks all others behind it. At the specified transfer rate a whole object takes less than a
+# second.
+PARTIAL_ANSWER_TIMEOUT_S = 1.0
+# A connection that has received nothing for this long since a forward was sent accepts no new forwards, and
+# is closed once none is pending; pending ones may still be answered. Without this, a connection that was open
+# but dead received every trial of its cache, so that the breaker never closed. The cost is an additional
+# connection where a cache is slow to answer.
+SILENCE_TIMEOUT_S = 1.0
+PASSIVE_IDLE_TIMEOUT_S = 1.0  # idle timeout for caches that are assigned to other gateways
+SWEEP_INTERVAL_S = 0.25  # between checks for timeouts
+MAX_UNSENT_BYTES = 1 << 18  # a connection with more data in its send buffer accepts no new forwards
+# Identifiers of finished forwards remembered per connection; late answers to them arrive within a few GETs.
+MAX_FINISHED_IDENTS = 256
+ForwardResult = resp.Answer | resp.Lost
 
 
 @dataclass(slots=True, eq=False)
-class Leg:
-    """A forward that is out."""
+class PendingForward:
+    """A forward that was sent and has no result yet."""
 
     ident: bytes
     command: bytes
-    at_end: Callable[[Ending], None]
+    on_result: Callable[[ForwardResult], None]
     connection: Connection | None = None
 
     def stop(self) -> None:
         if self.connection is not None:
-            self.connection.give_up(self)
+            self.connection.cancel_forward(self)
 
 
 class Connection(Link):
-    def __init__(self, pool: Pool, caches: Caches) -> None:
+    """One connection to a cache, shared by up to `max_streams` pending forwards."""
+
+    def __init__(self, pool: Pool, owner: CacheConnections) -> None:
         super().__init__()
-        self.pool, self.caches = pool, caches
+        self.pool, self.owner = pool, owner
         self.decoder = resp.Decoder()
-        self.legs: dict[bytes, Leg] = {}  # by ident; emptied by answers, stops and its end
-        self.spent: OrderedDict[bytes, None] = OrderedDict()  # given up or answered; the oldest go first
-        self.retired = ""  # why it takes nothing new
+        self.pending: dict[bytes, PendingForward] = {}  # by ident; removed on answer, cancel and close
+        self.finished: OrderedDict[bytes, None] = OrderedDict()  # canceled or answered, oldest first
+        self.retire_reason = ""  # why no new forwards are accepted; empty: they are
         self.forwards = 0
-        self.asked = 0.0  # when the first forward went out since something came, 0: none
+        # when the first forward was sent since data last arrived; 0: none
+        self.awaiting_since = 0.0
         self.closed = anyio.Event()
 
-    def takes(self, ident: bytes) -> bool:
-        fit = not self.reason and not self.retired and len(self.legs) < self.caches.streams
-        fit = fit and not self.quiet and self.waiting < UNREAD  # guards against a cache that reads nothing
-        return fit and ident not in self.legs and ident not in self.spent
+    def can_accept(self, ident: bytes) -> bool:
+        """Returns whether a forward with this identifier may be sent on this connection."""
+        accepts = not self.reason and not self.retire_reason and len(self.pending) < self.owner.max_streams
+        # the limit on unsent bytes excludes a cache that does not read
+        accepts = accepts and not self.unresponsive and self.waiting < MAX_UNSENT_BYTES
+        return accepts and ident not in self.pending and ident not in self.finished
 
     @property
-    def quiet(self) -> bool:
-        return 0 < self.asked < time.monotonic() - QUIET
+    def unresponsive(self) -> bool:
+        """Whether nothing has been received for `SILENCE_TIMEOUT_S` since a forward was sent."""
+        return 0 < self.awaiting_since < time.monotonic() - SILENCE_TIMEOUT_S
 
-    def forward(self, leg: Leg) -> None:
-        self.asked = self.asked or time.monotonic()
-        leg.connection = self
-        self.legs[leg.ident] = leg
+    def send_forward(self, forward: PendingForward) -> None:
+        self.awaiting_since = self.awaiting_since or time.monotonic()
+        forward.connection = self
+        self.pending[forward.ident] = forward
         self.forwards += 1
-        self.send(leg.command)
+        self.send(forward.command)
 
-    def give_up(self, leg: Leg) -> None:
-        if self.legs.get(leg.ident) is not leg:
+    def cancel_forward(self, forward: PendingForward) -> None:
+        if self.pending.get(forward.ident) is not forward:
             return
-        del self.legs[leg.ident]
-        if self.transport is None:  # it waits for a connection that is not up: it must not go out after all
-            self.queue.remove(leg.command)
+        del self.pending[forward.ident]
+        if self.transport is None:  # not connected yet: the queued command must not be sent
+            self.queue.remove(forward.command)
             return
-        self.spend(leg.ident)
-        self.send(resp.stop(leg.ident))
+        self.mark_finished(forward.ident)
+        self.send(resp.stop(forward.ident))
 
-    def spend(self, ident: bytes) -> None:
-        self.spent[ident] = None
-        if len(self.spent) > SPENT:
-            self.spent.popitem(last=False)
+    def mark_finished(self, ident: bytes) -> None:
+        self.finished[ident] = None
+        if len(self.finished) > MAX_FINISHED_IDENTS:
+            self.finished.popitem(last=False)
 
     def took(self, data: bytes) -> None:
         for answer in self.decoder.feed(data):
-            leg = self.legs.pop(answer.ident, None)
-            if leg is None:  # late, as it was given up; or a second or unknown one, which reaches nobody
-                self.spent.pop(answer.ident, None)
+            forward = self.pending.pop(answer.ident, None)
+            if forward is None:  # canceled before, a duplicate, or an unknown identifier: ignored
+                self.finished.pop(answer.ident, None)
             else:
-                self.spend(answer.ident)  # a second copy, split from this one, is no later forward's answer
-                leg.at_end(answer)
-        if self.decoder.broken:
-            log.warning("malformed", extra={"cache": self.pool.cache, "what": self.decoder.broken})
+                # a duplicate that arrives later must not be taken as the answer to another forward
+                self.mark_finished(answer.ident)
+                forward.on_result(answer)
+        if self.decoder.error:
+            log.warning("malformed", extra={"cache": self.pool.cache, "what": self.decoder.error})
             self.end("malformed")
-        self.used, self.asked = time.monotonic(), 0.0
+        self.used, self.awaiting_since = time.monotonic(), 0.0
 
     def ended(self) -> None:
-        """Also called when it never came up: then nothing ran."""
+        """Reports all pending forwards as lost. Also called if the connection was never established; the
+        forwards are then `unreached`, as none was executed."""
         if self.closed.is_set():
             return
         self.closed.set()
-        legs, self.legs = list(self.legs.values()), {}
-        told = {"side": "cache", "cache": self.pool.cache, "peer": self.pool.address, "reason": self.reason}
-        log.info("closed", extra={**told, "forwards": self.forwards, "left": len(legs)})
-        self.caches.parted(self)
-        up = self.transport is not None
-        for place, leg in enumerate(legs):  # one connection that broke is one symptom for all that were on it
-            leg.at_end(resp.Lost("broken" if up else "unreached", up and place > 0))
+        lost_forwards, self.pending = list(self.pending.values()), {}
+        fields = {"side": "cache", "cache": self.pool.cache, "peer": self.pool.address, "reason": self.reason}
+        log.info("closed", extra={**fields, "forwards": self.forwards, "left": len(lost_forwards)})
+        self.owner.remove(self)
+        established = self.transport is not None
+        # a broken connection counts as a single failure: all results but the first are marked as shared
+        for index, forward in enumerate(lost_forwards):
+            forward.on_result(resp.Lost("broken" if established else "unreached", established and index > 0))
 
 
 @dataclass(slots=True, eq=False)
 class Pool:
-    """The connections to one cache, as it was listed last."""
+    """The connections to one cache, with its address and start time in the latest list."""
 
     cache: str
     address: str
@@ -128,89 +142,120 @@
     connections: list[Connection] = field(default_factory=list)
 
 
-class Caches:
+class CacheConnections:
+    """The connection pools of all listed caches.
+
+    `max_connections` limits all pools together, `max_streams` the pending forwards on one connection.
+    Timeouts are in seconds. `count` is called with the name of each counter to increment.
+    """
+
     def __init__(
-        self, most: int, streams: int, connect_timeout: float, idle: float, count: Callable[[str], None]
+        self,
+        max_connections: int,
+        max_streams: int,
+        connect_timeout: float,
+        idle_timeout: float,
+        count: Callable[[str], None],
     ) -> None:
-        self.most, self.streams, self.connect_timeout, self.idle = most, streams, connect_timeout, idle
-        self.counted = count
-        self.keeps: Callable[[str], bool] = lambda cache: True  # whether idle connections to it are kept
-        self.pools: dict[str, Pool] = {}  # by cache; as long as the list
-        self.open: dict[Connection, None] = {}  # also of caches no longer listed; emptied as they end
-        self.group: TaskGroup | None = None
-
-    def listed(self, event: bulletin.ListChanged) -> None:
+        self.max_connections, self.max_streams, self.connect_timeout, self.idle_timeout = (
+            max_connections,
+            max_streams,
+            connect_timeout,
+            idle_timeout,
+        )
+        self.count = count
+        # whether idle connections to a cache are kept for the full idle timeout
+        self.keeps_idle: Callable[[str], bool] = lambda cache: True
+        self.pools: dict[str, Pool] = {}  # by cache, for the caches listed now
+        # including those to caches no longer listed; removed on close
+        self.open_connections: dict[Connection, None] = {}
+        self.tasks: TaskGroup | None = None
+
+    def update_list(self, event: bulletin.ListChanged) -> None:
+        """Opens and retires pools according to a full list or a change of it."""
         if event.whole:
-            here = {line.cache for line in event.entries}
-            for name in [name for name in self.pools if name not in here]:
+            listed_names = {entry.cache for entry in event.entries}
+            for name in [name for name in self.pools if name not in listed_names]:
                 self.retire(self.pools.pop(name), "gone")
-        for line in event.entries:
-            pool = self.pools.get(line.cache)
-            if line.state == "left":
+        for entry in event.entries:
+            pool = self.pools.get(entry.cache)
+            if entry.state == "left":
                 if pool is not None:
-                    self.retire(self.pools.pop(line.cache), "gone")
+                    self.retire(self.pools.pop(entry.cache), "gone")
             elif pool is None:
-                self.pools[line.cache] = Pool(line.cache, line.address, line.started_ms)
-            elif (pool.address, pool.started_ms) != (line.address, line.started_ms):
-                self.retire(pool, "restarted")  # what stays silent on them is the old process's
-                self.pools[line.cache] = Pool(line.cache, line.address, line.started_ms)
+                self.pools[entry.cache] = Pool(entry.cache, entry.address, entry.started_ms)
+            elif (pool.address, pool.started_ms) != (entry.address, entry.started_ms):
+                self.retire(pool, "restarted")  # its connections lead to the previous process
+                self.pools[entry.cache] = Pool(entry.cache, entry.address, entry.started_ms)
 
     def retire(self, pool: Pool, reason: str) -> None:
+        """Stops new forwards on a pool. Connections are closed at once if idle or if the cache has
+        restarted."""
         for connection in list(pool.connections):
-            connection.retired = reason
-            if reason == "restarted" or not connection.legs:
+            connection.retire_reason = reason
+            if reason == "restarted" or not connection.pending:
                 connection.end(reason)
 
-    def send(self, cache: str, ident: bytes, command: bytes, at_end: Callable[[Ending], None]) -> Leg:
-        leg = Leg(ident, command, at_end)
+    def send(
+        self, cache: str, ident: bytes, command: bytes, on_result: Callable[[ForwardResult], None]
+    ) -> PendingForward:
+        """Sends a command on the least loaded connection, opening one if necessary. The result is `unsent` if
+        the cache is not listed or no connection is available."""
+        forward = PendingForward(ident, command, on_result)
         pool = self.pools.get(cache)
-        if pool is None or self.group is None:
-            at_end(resp.Lost("unsent"))
-            return leg
-        fit = [connection for connection in pool.connections if connection.takes(ident)]
-        connection = min(fit, key=lambda c: len(c.legs), default=None)
+        if pool is None or self.tasks is None:
+            on_result(resp.Lost("unsent"))
+            return forward
+        candidates = [connection for connection in pool.connections if connection.can_accept(ident)]
+        connection = min(candidates, key=lambda c: len(c.pending), default=None)
         if connection is None:
-            if len(self.open) >= self.most and not self.make_room():
-                at_end(resp.Lost("unsent"))
-                return leg
+            if len(self.open_connections) >= self.max_connections and not self.close_longest_idle():
+                on_result(resp.Lost("unsent"))
+                return forward
             connection = Connection(pool, self)
             pool.connections.append(connection)
-            self.open[connection] = None
-            self.group.start_soon(self.serve, connection)
-        connection.forward(leg)
-        self.counted("forwarded")
-        return leg
-
-    def make_room(self) -> bool:
-        """Ends the connection that has been idle longest, to stay within the descriptors' budget."""
-        idle = [c for c in self.open if not c.legs and not c.reason]
-        if not idle:
+            self.open_connections[connection] = None
+            self.tasks.start_soon(self.run_connection, connection)
+        connection.send_forward(forward)
+        self.count("forwarded")
+        return forward
+
+    def close_longest_idle(self) -> bool:
+        """Closes the connection that has been idle longest, to stay within `max_connections`; returns False
+        if none is idle."""
+        idle_connections = [c for c in self.open_connections if not c.pending and not c.reason]
+        if not idle_connections:
             return False
-        min(idle, key=lambda c: c.used).end("room")
+        min(idle_connections, key=lambda c: c.used).end("room")
         return True
 
-    def parted(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         connection.pool.connections.remove(connection)
-        self.open.pop(connection, None)
-        self.counted(f"cache.{connection.reason}")
+        self.open_connections.pop(connection, None)
+        self.count(f"cache.{connection.reason}")
 
     async def run(self) -> None:
-        async with anyio.create_task_group() as self.group:
+        """Closes stalled, unresponsive and idle connections. Never returns."""
+        async with anyio.create_task_group() as self.tasks:
             while True:
-                await anyio.sleep(SWEEP)
+                await anyio.sleep(SWEEP_INTERVAL_S)
                 now = time.monotonic()
-                for connection in list(self.open):
-                    if connection.decoder.half and connection.used < now - STALLED:
+                for connection in list(self.open_connections):
+                    if connection.decoder.incomplete and connection.used < now - PARTIAL_ANSWER_TIMEOUT_S:
                         connection.end("stalled")
-                    elif not connection.legs and connection.quiet:
+                    elif not connection.pending and connection.unresponsive:
                         connection.end("quiet")
-                    elif not connection.legs:
-                        kept = self.idle if self.keeps(connection.pool.cache) else min(self.idle, PASSING)
-                        if connection.retired or connection.used < now - kept:
-                            connection.end(connection.retired or "idle")
+                    elif not connection.pending:
+                        timeout = (
+                            self.idle_timeout
+                            if self.keeps_idle(connection.pool.cache)
+                            else min(self.idle_timeout, PASSIVE_IDLE_TIMEOUT_S)
+                        )
+                        if connection.retire_reason or connection.used < now - timeout:
+                            connection.end(connection.retire_reason or "idle")
 
-    async def serve(self, connection: Connection) -> None:
-        """One connection, from its opening to its end."""
+    async def run_connection(self, connection: Connection) -> None:
+        """Opens one connection and waits until it is closed."""
         host, _, port = connection.pool.address.rpartition(":")
         try:
             with anyio.fail_after(self.connect_timeout):
--- a/damsonstream/transport/front.py
+++ b/damsonstream/transport/front.py
@@ -1,8 +1,9 @@
-"""The listener and the clients' connections: GETs in, final answers out.
+"""The FastCGI listener and its client connections: receives GETs and sends the final answers.
 
-How it is called: `Front(...).listen(host, port)` accepts; `open_get(taken, answer)` is called for each GET
-and gives what is to be told when its client leaves. An answer goes to its connection's buffer, so that a slow
-client holds up nobody else; the buffers together are bounded, and the slowest pays.
+Usage: `ClientListener(...).listen(host, port)` accepts connections. `open_get(request, answer)` is called for
+each GET and returns an object whose `left()` is called if the client disconnects or aborts. Answers are
+buffered per connection, so that a slow client does not block others. The total size of the buffers is
+limited: above it, the connections with the most unsent data are closed.
 """
 
 from __future__ import annotations
@@ -19,150 +20,163 @@
 from damsonstream.transport.link import Link
 
 log = logging.getLogger(__name__)
-SLOW = 1 << 18  # bytes waiting on one connection before all are added up: more than one object
-# Seconds within which a connection brings its first GET, and any GET is whole: a bad client is owed a close
-# within 3 s. Web servers send a GET at once. Guards against those that say nothing or stop half way.
-PROMPT = 2.4
-SWEEP = 0.3  # seconds between looks for those
+# Connections with more unsent data count against the memory limit. It is more than one object.
+SLOW_CLIENT_BYTES = 1 << 18
+# Time limit for the first GET on a connection, and for receiving a whole GET: clients that send nothing or
+# stop half way have to be disconnected within 3 s. Web servers send a GET at once.
+REQUEST_TIMEOUT_S = 2.4
+SWEEP_INTERVAL_S = 0.3  # between checks of that limit
 
 
-class Life(Protocol):
-    """A GET in the hands of its task."""
+class OpenGet(Protocol):
+    """A GET that is being processed."""
 
-    def left(self) -> None: ...
+    def left(self) -> None: ...  # called when the client has disconnected or aborted the GET
 
 
-Answer = Callable[[bytes], None]  # the whole answer, as bytes of the client's wire
-Opener = Callable[[fastcgi.Taken, Answer], Life | None]  # None: it was answered at once
+Answer = Callable[[bytes], None]  # takes the encoded FastCGI answer
+GetOpener = Callable[[fastcgi.Request, Answer], OpenGet | None]  # returns None if it was answered at once
 
 
-class Nobody:
+class NoOpenGet:
     def left(self) -> None:
         pass
 
 
-NOBODY = Nobody()
+NO_OPEN_GET = NoOpenGet()
 
 
 class Client(Link):
     """One client's connection."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, listener: ClientListener) -> None:
         super().__init__()
-        self.front = front
+        self.listener = listener
         self.decoder = fastcgi.Decoder()
-        self.lives: dict[int, Life] = {}  # by id; emptied by answers, aborts and its end
-        self.half = self.used  # since when it has been half way through a GET, or has brought none
-        self.last = False  # ends after the answers that are open
+        self.open_gets: dict[int, OpenGet] = {}  # by request id; removed on answer, abort and close
+        # when the GET that is partly received began, or the connection if it has sent none
+        self.incomplete_since = self.used
+        self.close_after_answers = False  # the client asked for a close after the open answers
         self.gets = 0
         self.peer = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.peer = ":".join(map(str, transport.get_extra_info("peername") or ()))
-        self.front.joined(self)
+        self.listener.add(self)
         super().connection_made(transport)
 
     def took(self, data: bytes) -> None:
-        whole = self.gets > 0 and not self.decoder.half  # what was there before these bytes
-        if whole:
-            self.half = time.monotonic()
+        was_complete = self.gets > 0 and not self.decoder.incomplete  # the state before this data
+        if was_complete:
+            self.incomplete_since = time.monotonic()
         try:
             for message in self.decoder.feed(data):
                 match message:
-                    case fastcgi.Taken():
-                        self.taken(message)
-                    case fastcgi.Aborted(id=id):
-                        if (life := self.lives.pop(id, None)) is not None:
-                            life.left()
-                            self.decoder.done(id)
-                            self.send(fastcgi.ended(id))
-                    case fastcgi.Back(data=back):
-                        self.send(back)
-        except fastcgi.Broken as fault:
-            self.end(str(fault))
-
-    def taken(self, get: fastcgi.Taken) -> None:
+                    case fastcgi.Request():
+                        self.handle_get(message)
+                    case fastcgi.RequestAborted(id=id):
+                        if (open_get := self.open_gets.pop(id, None)) is not None:
+                            open_get.left()
+                            self.decoder.release_id(id)
+                            self.send(fastcgi.end_request(id))
+                    case fastcgi.ManagementReply(data=reply):
+                        self.send(reply)
+        except fastcgi.ProtocolError as error:
+            self.end(str(error))
+
+    def handle_get(self, get: fastcgi.Request) -> None:
         self.gets += 1
-        self.used = self.half = time.monotonic()
-        self.last |= not get.keep
+        self.used = self.incomplete_since = time.monotonic()
+        self.close_after_answers |= not get.keep_connection
 
         def answer(data: bytes) -> None:
-            if self.lives.pop(get.id, None) is None:
-                return  # the client has left
-            self.decoder.done(get.id)
+            if self.open_gets.pop(get.id, None) is None:
+                return  # the client has disconnected or aborted
+            self.decoder.release_id(get.id)
             self.used = time.monotonic()
             self.send(data)
-            if self.last and not self.lives:
+            if self.close_after_answers and not self.open_gets:
                 self.end("asked", flush=True)
-            elif self.waiting > SLOW:
-                self.front.bound()
+            elif self.waiting > SLOW_CLIENT_BYTES:
+                self.listener.limit_buffers()
 
-        self.lives[get.id] = NOBODY
-        life = self.front.open_get(get, answer)
-        if life is not None:
-            self.lives[get.id] = life
+        self.open_gets[get.id] = NO_OPEN_GET
+        open_get = self.listener.open_get(get, answer)
+        if open_get is not None:
+            self.open_gets[get.id] = open_get
 
     def ended(self) -> None:
-        lives, self.lives = self.lives, {}
-        for life in lives.values():
-            life.left()
-        self.front.parted(self)
-        told = {
+        open_gets, self.open_gets = self.open_gets, {}
+        for open_get in open_gets.values():
+            open_get.left()
+        self.listener.remove(self)
+        fields = {
             "side": "client",
             "peer": self.peer,
             "reason": self.reason,
             "gets": self.gets,
-            "left": len(lives),
+            "left": len(open_gets),
         }
-        log.info("closed", extra=told)
+        log.info("closed", extra=fields)
 
 
-class Front:
-    def __init__(self, most: int, most_waiting: int, open_get: Opener, count: Callable[[str], None]) -> None:
-        self.most, self.most_waiting, self.open_get, self.count = most, most_waiting, open_get, count
-        self.clients: dict[Client, None] = {}  # emptied as connections end
+class ClientListener:
+    """Accepts client connections and limits their number and the memory of their buffers."""
+
+    def __init__(
+        self, max_clients: int, max_buffered_bytes: int, open_get: GetOpener, count: Callable[[str], None]
+    ) -> None:
+        self.max_clients, self.max_buffered_bytes, self.open_get, self.count = (
+            max_clients,
+            max_buffered_bytes,
+            open_get,
+            count,
+        )
+        self.clients: dict[Client, None] = {}  # removed on close
 
     async def listen(self, host: str, port: int) -> asyncio.Server:
         return await asyncio.get_running_loop().create_server(lambda: Client(self), host, port, backlog=1024)
 
     @property
-    def open(self) -> int:
-        """GETs without an answer, and connections whose answers are still on the way."""
-        return sum(len(client.lives) + (client.waiting > 0) for client in self.clients)
-
-    def joined(self, client: Client) -> None:
-        """One more connection; where the descriptors are used up one that never brought a GET makes room for
-        it, else the one idle longest."""
-        if len(self.clients) >= self.most:
-            idle = [c for c in self.clients if not c.lives and not c.waiting and not c.reason]
-            if idle:
-                min(idle, key=lambda c: (c.gets > 0, c.used)).end("room")
+    def open_count(self) -> int:
+        """The number of GETs without an answer plus that of connections with unsent data."""
+        return sum(len(client.open_gets) + (client.waiting > 0) for client in self.clients)
+
+    def add(self, client: Client) -> None:
+        """Registers a connection. At the limit an idle one is closed for it: first those that never sent a
+        GET, then the one idle longest. If none is idle, the new connection is refused."""
+        if len(self.clients) >= self.max_clients:
+            idle_clients = [c for c in self.clients if not c.open_gets and not c.waiting and not c.reason]
+            if idle_clients:
+                min(idle_clients, key=lambda c: (c.gets > 0, c.used)).end("room")
             else:
                 client.reason = "full"
         self.clients[client] = None
 
     async def sweep(self) -> None:
+        """Closes connections that exceed `REQUEST_TIMEOUT_S`. Never returns."""
         while True:
-            await anyio.sleep(SWEEP)
-            before = time.monotonic() - PROMPT
-            for client in [c for c in self.clients if c.half < before and not c.reason]:
+            await anyio.sleep(SWEEP_INTERVAL_S)
+            deadline = time.monotonic() - REQUEST_TIMEOUT_S
+            for client in [c for c in self.clients if c.incomplete_since < deadline and not c.reason]:
                 if not client.gets:
                     client.end("silent")
-                elif client.decoder.half:
+                elif client.decoder.incomplete:
                     client.end("half")
 
-    def parted(self, client: Client) -> None:
+    def remove(self, client: Client) -> None:
         self.clients.pop(client, None)
         self.count(f"client.{client.reason}")
 
-    def bound(self) -> None:
-        """Memory: over the bound, the connection that reads slowest is ended."""
-        slow = sorted(
-            (c for c in self.clients if c.waiting > SLOW and not c.reason), key=lambda c: -c.waiting
+    def limit_buffers(self) -> None:
+        """Closes the connections with the most unsent data until the total is within the memory limit."""
+        slow_clients = sorted(
+            (c for c in self.clients if c.waiting > SLOW_CLIENT_BYTES and not c.reason),
+            key=lambda c: -c.waiting,
         )
-        total = sum(client.waiting for client in slow)
-        for client in slow:
-            if total <= self.most_waiting:
+        total_bytes = sum(client.waiting for client in slow_clients)
+        for client in slow_clients:
+            if total_bytes <= self.max_buffered_bytes:
                 break
-            total -= client.waiting
+            total_bytes -= client.waiting
             client.end("slow")
--- a/damsonstream/transport/link.py
+++ b/damsonstream/transport/link.py
@@ -1,8 +1,8 @@
-"""One TCP connection as callbacks: bytes in, bytes out, and its end told once with a reason code.
+"""Base class of TCP connections with callbacks for received data and for the close, with a reason code.
 
-How it is called: a subclass overrides `took()` and `ended()`, and calls `send()` and `end()`. This is
-asyncio's protocol under anyio's tasks: anyio's own socket streams cost a checkpoint and two changes of the
-poll set for each read (docs/design.md has the figures).
+Usage: a subclass overrides `handle_data()` and `handle_close()`, and calls `send()` and `close()`. It is an
+asyncio protocol rather than an anyio socket stream, because the latter costs a checkpoint and two changes of
+the poll set for each read (docs/design.md has the figures).
 """
 
 from __future__ import annotations
@@ -16,25 +16,27 @@
 
 
 class Link(asyncio.Protocol):
+    """One TCP connection. Data sent before it is established is queued."""
+
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.reason = ""  # why it ended or is to end
+        self.reason = ""  # reason code of the close; empty while the connection is usable
         self.used = time.monotonic()
-        self.queue: list[bytes] = []  # until it is up; bounded by who sends
+        self.queue: list[bytes] = []  # data sent before it is established; the sender limits its size
 
     def took(self, data: bytes) -> None:
         raise NotImplementedError
 
     def ended(self) -> None:
-        """Told once, when nothing more comes or goes."""
+        """Called once, after the connection is closed."""
         raise NotImplementedError
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        up = cast(asyncio.Transport, transport)
-        if self.reason:  # given up before it was up
-            up.abort()
+        established = cast(asyncio.Transport, transport)
+        if self.reason:  # closed before it was established
+            established.abort()
             return
-        self.transport = up
+        self.transport = established
         if self.queue:
             self.transport.write(b"".join(self.queue))
             self.queue.clear()
@@ -52,8 +54,8 @@
         self.end("closed")
         return False
 
-    def connection_lost(self, fault: Exception | None) -> None:
-        self.reason = self.reason or ("reset" if fault else "closed")
+    def connection_lost(self, error: Exception | None) -> None:
+        self.reason = self.reason or ("reset" if error else "closed")
         self.ended()
 
     def send(self, data: bytes) -> None:
@@ -64,10 +66,12 @@
 
     @property
     def waiting(self) -> int:
-        """Bytes not yet handed to the system."""
+        """The number of bytes in the send buffer, not yet passed to the kernel."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     def end(self, reason: str, flush: bool = False) -> None:
+        """Closes the connection; with `flush` the send buffer is written first. Only the first call
+        counts."""
         if self.reason:
             return
         self.reason = reason
--- a/damsonstream/transport/peers.py
+++ b/damsonstream/transport/peers.py
@@ -1,8 +1,8 @@
-"""Datagrams between gateways: one UDP socket, on the address that the configuration names for it.
+"""The UDP socket for messages between gateways, on the configured address.
 
-How it is called: `await Peers(listen, addresses, heard).open()`, then `send(place, data)`; `heard(place,
-data)` is called for each that comes, with the place of its sender's address in the list, or -1 for one from
-elsewhere. What can't be sent is lost, as datagrams are.
+Usage: `await PeerSocket(listen, addresses, on_datagram).open()`, then `send(index, data)`.
+`on_datagram(index, data)` is called for each datagram received, with the index of the sender in `addresses`,
+or -1 if it is not listed. Delivery is not guaranteed, and send errors are ignored.
 """
 
 from __future__ import annotations
@@ -15,36 +15,38 @@
 Address = tuple[str, int]
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerSocket(asyncio.DatagramProtocol):
+    """The datagram endpoint of one gateway."""
+
     def __init__(
-        self, listen: Address, addresses: tuple[Address, ...], heard: Callable[[int, bytes], None]
+        self, listen: Address, addresses: tuple[Address, ...], on_datagram: Callable[[int, bytes], None]
     ) -> None:
-        self.listen, self.addresses, self.heard = listen, addresses, heard
-        self.places = {address: place for place, address in enumerate(addresses)}
+        self.listen, self.addresses, self.on_datagram = listen, addresses, on_datagram
+        self.index_by_address = {address: index for index, address in enumerate(addresses)}
         self.socket: asyncio.DatagramTransport | None = None
 
     async def open(self) -> None:
-        """Raises OSError where the address can't be had."""
+        """Binds the socket; raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         self.socket, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.listen)
 
-    def moved(self, addresses: tuple[Address, ...]) -> None:
-        """The list of peers has changed."""
+    def set_addresses(self, addresses: tuple[Address, ...]) -> None:
+        """Replaces the list of peers."""
         self.addresses = addresses
-        self.places = {address: place for place, address in enumerate(addresses)}
+        self.index_by_address = {address: index for index, address in enumerate(addresses)}
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
         try:
-            self.heard(self.places.get(sender, -1), data)
+            self.on_datagram(self.index_by_address.get(sender, -1), data)
         except Exception:
             log.exception("peers")
 
-    def error_received(self, fault: Exception) -> None:
-        log.debug("peers", extra={"what": str(fault)})  # nobody listens there just now
+    def error_received(self, error: Exception) -> None:
+        log.debug("peers", extra={"what": str(error)})  # for example, the peer is not listening
 
-    def send(self, place: int, data: bytes) -> None:
-        if self.socket is not None and 0 <= place < len(self.addresses):
-            self.socket.sendto(data, self.addresses[place])
+    def send(self, index: int, data: bytes) -> None:
+        if self.socket is not None and 0 <= index < len(self.addresses):
+            self.socket.sendto(data, self.addresses[index])
 
     def close(self) -> None:
         if self.socket is not None:
--- a/setup.py
+++ b/setup.py
@@ -1,5 +1,6 @@
-"""Compiles the modules that every GET goes through, where mypyc and a C compiler are at hand; else they are
-interpreted, with the same results. docs/design.md has the measured difference."""
+"""Build script: compiles the modules on the path of every GET with mypyc if it and a C compiler are
+available. Otherwise they are interpreted, with the same results. docs/design.md has the measured
+difference."""
 
 import os
 
@@ -22,6 +23,6 @@
 
         modules = mypycify(COMPILED, opt_level="2", debug_level="0")
     except ImportError:
-        print("mypyc is not installed: the package stays interpreted")
+        print("mypyc is not installed; the modules are not compiled")
 
 setup(ext_modules=modules)
