--- a/damsonstream/protocol/resp.py
+++ b/damsonstream/protocol/resp.py
@@ -67,7 +67,7 @@
 
 def forward(
     ident: bytes,
-    same: bytes,
+    shared_fields: bytes,
     body: bytes,
     *,
     wait_ms: int,
@@ -78,7 +78,7 @@
     renew: bool,
     copies: bool,
 ) -> bytes:
-    """Encodes a forward. `same` holds the fields common to all forwards of a GET, from `forward_fields()`.
+    """Encodes a forward. `shared_fields` are those common to all forwards of a GET, from `forward_fields()`.
 
     `wait_ms` is the time limit, `source` the node to fill from, `rank` the retention rank of the copy,
     `age_ms` the maximum age of a copy. `join` lets the cache join a fill in progress, `renew` asks it to
@@ -95,7 +95,7 @@
     modes = [word for word, on in (("collapse", join), ("only-if-cached", copies), ("refresh", renew)) if on]
     if modes:
         text += f",handle={'+'.join(modes)}"
-    return array(b"REQ", ident, same + text.encode(), body)
+    return array(b"REQ", ident, shared_fields + text.encode(), body)
 
 
 def forward_fields(service: bytes, object_id: bytes, segment: bytes, token: bytes, version: bytes) -> bytes:
--- a/damsonstream/transport/caches.py
+++ b/damsonstream/transport/caches.py
@@ -49,6 +49,7 @@
     connection: Connection | None = None
 
     def stop(self) -> None:
+        """Cancels the forward; its callback is not called afterwards."""
         if self.connection is not None:
             self.connection.cancel_forward(self)
 
@@ -88,6 +89,7 @@
         self.send(forward.command)
 
     def cancel_forward(self, forward: PendingForward) -> None:
+        """Removes a queued forward, or sends a STOP for one that was sent."""
         if self.pending.get(forward.ident) is not forward:
             return
         del self.pending[forward.ident]
@@ -114,7 +116,7 @@
         if self.decoder.error:
             log.warning("malformed", extra={"cache": self.pool.cache, "what": self.decoder.error})
             self.end("malformed")
-        self.used, self.awaiting_since = time.monotonic(), 0.0
+        self.last_used, self.awaiting_since = time.monotonic(), 0.0
 
     def ended(self) -> None:
         """Reports all pending forwards as lost. Also called if the connection was never established; the
@@ -226,7 +228,7 @@
         idle_connections = [c for c in self.open_connections if not c.pending and not c.reason]
         if not idle_connections:
             return False
-        min(idle_connections, key=lambda c: c.used).end("room")
+        min(idle_connections, key=lambda c: c.last_used).end("room")
         return True
 
     def remove(self, connection: Connection) -> None:
@@ -241,7 +243,10 @@
                 await anyio.sleep(SWEEP_INTERVAL_S)
                 now = time.monotonic()
                 for connection in list(self.open_connections):
-                    if connection.decoder.incomplete and connection.used < now - PARTIAL_ANSWER_TIMEOUT_S:
+                    if (
+                        connection.decoder.incomplete
+                        and connection.last_used < now - PARTIAL_ANSWER_TIMEOUT_S
+                    ):
                         connection.end("stalled")
                     elif not connection.pending and connection.unresponsive:
                         connection.end("quiet")
@@ -251,7 +256,7 @@
                             if self.keeps_idle(connection.pool.cache)
                             else min(self.idle_timeout, PASSIVE_IDLE_TIMEOUT_S)
                         )
-                        if connection.retire_reason or connection.used < now - timeout:
+                        if connection.retire_reason or connection.last_used < now - timeout:
                             connection.end(connection.retire_reason or "idle")
 
     async def run_connection(self, connection: Connection) -> None:
--- a/damsonstream/transport/front.py
+++ b/damsonstream/transport/front.py
@@ -39,6 +39,8 @@
 
 
 class NoOpenGet:
+    """Placeholder in `Client.open_gets` until the opener has returned."""
+
     def left(self) -> None:
         pass
 
@@ -55,7 +57,7 @@
         self.decoder = fastcgi.Decoder()
         self.open_gets: dict[int, OpenGet] = {}  # by request id; removed on answer, abort and close
         # when the GET that is partly received began, or the connection if it has sent none
-        self.incomplete_since = self.used
+        self.incomplete_since = self.last_used
         self.close_after_answers = False  # the client asked for a close after the open answers
         self.gets = 0
         self.peer = ""
@@ -85,15 +87,16 @@
             self.end(str(error))
 
     def handle_get(self, get: fastcgi.Request) -> None:
+        """Passes a received GET to the opener, with a function that sends its answer."""
         self.gets += 1
-        self.used = self.incomplete_since = time.monotonic()
+        self.last_used = self.incomplete_since = time.monotonic()
         self.close_after_answers |= not get.keep_connection
 
         def answer(data: bytes) -> None:
             if self.open_gets.pop(get.id, None) is None:
                 return  # the client has disconnected or aborted
             self.decoder.release_id(get.id)
-            self.used = time.monotonic()
+            self.last_used = time.monotonic()
             self.send(data)
             if self.close_after_answers and not self.open_gets:
                 self.end("asked", flush=True)
@@ -146,9 +149,9 @@
         """Registers a connection. At the limit an idle one is closed for it: first those that never sent a
         GET, then the one idle longest. If none is idle, the new connection is refused."""
         if len(self.clients) >= self.max_clients:
-            idle_clients = [c for c in self.clients if not c.open_gets and not c.waiting and not c.reason]
-            if idle_clients:
-                min(idle_clients, key=lambda c: (c.gets > 0, c.used)).end("room")
+            idle = [c for c in self.clients if not c.open_gets and not c.waiting and not c.reason]
+            if idle:
+                min(idle, key=lambda c: (c.gets > 0, c.last_used)).end("room")
             else:
                 client.reason = "full"
         self.clients[client] = None
--- a/damsonstream/transport/link.py
+++ b/damsonstream/transport/link.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.reason = ""  # reason code of the close; empty while the connection is usable
-        self.used = time.monotonic()
+        self.last_used = time.monotonic()
         self.queue: list[bytes] = []  # data sent before it is established; the sender limits its size
 
     def took(self, data: bytes) -> None:
