--- a/damsonstream/program/config.py
+++ b/damsonstream/program/config.py
@@ -16,7 +16,7 @@
 from damsonstream.protocol import bulletin
 from damsonstream.routing import interface as i
 
-US = 100  # microseconds in a tenth of a millisecond
+US = 100  # microseconds in the router's unit of time, a tenth of a millisecond
 EFFECT_BY_NAME = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "non-idempotent"}
 
 
