--- a/damsonstream/incident/accounting.py
+++ b/damsonstream/incident/accounting.py
@@ -1,19 +1,19 @@
-"""Whether each GET has exactly one final answer, from one gateway's records. No I/O.
+"""Checks from one gateway's records whether each GET got exactly one final answer. No I/O.
 
-How it is called: `Ledger(gateway, listener)` is fed records and problems in order with `feed(...)`, and
-closed with `close(...)`; it calls the listener as GETs begin, go on and end, and collects a verdict for each.
-Memory: one byte for each GET of a boot, and the story of those that are open.
+`GetLedger(gateway, listener)` is fed records and problems in order with `feed(...)` and finished with
+`close(...)`. It calls the listener as GETs start, progress and end, and counts a verdict for each GET. It
+needs one byte of memory for each GET of a boot, plus the history of the GETs in progress.
 
-Verdicts, told apart:
+Verdicts:
 
     once      one final answer
-    left      the client left first: no answer is owed
-    crash     taken, and the gateway was killed before it answered: lost with it
-    hidden    no answer is recorded, but records are missing after it was taken: can't be told
-    open      taken within its time at the end of the records: still under way
-    none      no answer, though nothing is missing and its time was up: the rule is broken
-    twice     more than one final answer: the rule is broken
-    stray     an answer to a GET that was never taken, with nothing missing before it: the rule is broken
+    left      the client closed its connection first, so no answer is owed
+    crash     accepted, but the gateway was killed before it answered
+    hidden    no answer is recorded, but records are missing after it was accepted: unknown
+    open      in progress and within its time limit at the end of the records
+    none      no answer, although no records are missing and its time limit has passed: a violation
+    twice     more than one final answer: a violation
+    stray     an answer to a GET that was never accepted, with no records missing before: a violation
 """
 
 from __future__ import annotations
@@ -26,45 +26,49 @@
 from damsonstream.records import model
 from damsonstream.records.store import Item, Problem
 
-GOOD = ("once", "left")
-BROKEN = ("none", "twice", "stray")
-TOLERANCE = 500  # tenths of a millisecond: time limits on sockets are 50 ms longer
+COMPLETE = ("once", "left")
+VIOLATIONS = ("none", "twice", "stray")
+TIMEOUT_TOLERANCE = 500  # ticks of 0.1 ms: timeouts on sockets are set 50 ms longer
 UNTAKEN, TAKEN, ANSWERED, TWICE, LEFT, HIDDEN = range(6)
-STORY = 64  # steps of a GET's story that are kept: six forwards make fourteen
+MAX_HISTORY_RECORDS = 64  # per GET; six forwards produce fourteen records
 
 
 @dataclass(slots=True)
 class Leg:
-    """A forward of a GET."""
+    """A forward of a GET: the record of its start and, once it has ended, of its end."""
 
-    leg: int
+    number: int
     sent: model.Sent
     came: model.Came | None = None
 
 
 @dataclass(slots=True)
 class Get:
-    """A GET that is open, and what was done for it."""
+    """A GET in progress, its forwards and its history."""
 
     gateway: str
     boot: int
     taken: model.Taken
     service: model.Service | None
-    legs: dict[int, Leg] = field(default_factory=dict)
+    forwards: dict[int, Leg] = field(default_factory=dict)
     answered: model.Answered | None = None
-    left: int = 0  # when its client left, 0: it did not
-    story: list[model.AnyRecord] = field(default_factory=list)
+    left_at: int = 0  # when the client closed its connection, 0: it did not
+    history: list[model.AnyRecord] = field(default_factory=list)  # its records, oldest first
 
     @property
-    def out(self) -> bool:
-        return any(leg.came is None for leg in self.legs.values())
+    def has_pending_forward(self) -> bool:
+        """Whether a forward has not ended yet."""
+        return any(leg.came is None for leg in self.forwards.values())
 
 
-Stray = model.Taken | model.Answered | model.Sent  # what belongs to no GET that is open
+Stray = model.Taken | model.Answered | model.Sent  # a record that belongs to no GET in progress
 
 
 class Listener(Protocol):
-    """Who is told of GETs as the records are gone through."""
+    """Receives events of GETs, and all other records, while the records are read.
+
+    `sent` and `came` report the start and the end of a forward, `over` the verdict on a GET that has ended.
+    """
 
     def record(self, gateway: str, boot: int, record: model.AnyRecord) -> None: ...
     def sent(self, get: Get, sent: model.Sent) -> None: ...
@@ -76,18 +80,19 @@
 
 @dataclass(slots=True)
 class Boot:
-    """One run of a gateway, as the records show it."""
+    """One run of a gateway, as its records show it. Times are on the gateway's clock."""
 
     gateway: str
     number: int
     first: int = 0  # time of its first record
-    last: int = 0
+    last: int = 0  # time of its latest record
     began: model.Began | None = None
     stopped: bool = False
     records: int = 0
-    gaps: list[tuple[int, int, int, str]] = field(default_factory=list)  # since, until, records, why
+    # start, end, missing records (-1: not known), reason
+    gaps: list[tuple[int, int, int, str]] = field(default_factory=list)
     verdicts: Counter[str] = field(default_factory=Counter)
-    turned: Counter[str] = field(default_factory=Counter)  # answered as they came, by reason
+    turned: Counter[str] = field(default_factory=Counter)  # GETs that were answered on arrival, by reason
 
     @property
     def gateway_boot(self) -> tuple[str, int]:
@@ -95,12 +100,14 @@
 
 
 class Ledger:
+    """Follows the GETs of one gateway through its records and counts verdicts by boot."""
+
     def __init__(self, gateway: str, listener: Listener) -> None:
         self.gateway, self.listener = gateway, listener
         self.boots: list[Boot] = []
-        self.open: dict[int, Get] = {}  # emptied by answers, once nothing is out, and by the end of the boot
-        self.states = bytearray()  # of the GETs of this boot, by number
-        self.gap_at = -1  # time of the last record before the latest gap, -1: none
+        self.open_gets: dict[int, Get] = {}  # until answered with no forward pending, or the end of the boot
+        self.states = bytearray()  # state of each GET of this boot, by its number
+        self.latest_gap_at = -1  # time of the last record before the latest gap, -1: no gap
 
     @property
     def boot(self) -> Boot:
@@ -108,19 +115,19 @@
 
     def feed(self, entry: Item | Problem) -> None:
         if not self.boots or entry.boot != self.boot.number:
-            self.turn(entry.boot)
+            self.start_boot(entry.boot)
         if isinstance(entry, Problem):
             if entry.kind != "newer":
-                self.gap(entry.kind, entry.count)
+                self.record_gap(entry.kind, entry.count)
             return
         record, boot = entry.record, self.boot
         boot.first = boot.first or record.at
         boot.last = max(boot.last, record.at)
         boot.records += 1
         if isinstance(record, model.Sent):
-            if get := self.open.get(record.get):
-                get.legs[record.leg] = Leg(record.leg, record)
-                self.note(get, record)
+            if get := self.open_gets.get(record.get):
+                get.forwards[record.leg] = Leg(record.leg, record)
+                self.add_to_history(get, record)
                 self.listener.sent(get, record)
             elif self.state(record.get) in (ANSWERED, TWICE, LEFT):
                 self.listener.stray(self.gateway, boot.number, record)
@@ -133,9 +140,9 @@
         elif isinstance(record, model.Left):
             self.left(record)
         else:
-            self.other(record)
+            self.other_record(record)
 
-    def other(self, record: model.AnyRecord) -> None:
+    def other_record(self, record: model.AnyRecord) -> None:
         boot = self.boot
         if isinstance(record, model.Began):
             boot.began = record
@@ -144,73 +151,73 @@
         elif isinstance(record, model.Turned):
             boot.turned[record.reason] += 1
         elif isinstance(record, model.Dropped):
-            self.gap(record.reason, record.count, record.since)
+            self.record_gap(record.reason, record.count, record.since)
         self.listener.record(self.gateway, boot.number, record)
 
-    def note(self, get: Get, record: model.AnyRecord) -> None:
-        if len(get.story) < STORY:
-            get.story.append(record)
+    def add_to_history(self, get: Get, record: model.AnyRecord) -> None:
+        if len(get.history) < MAX_HISTORY_RECORDS:
+            get.history.append(record)
 
     def state(self, number: int) -> int:
         return self.states[number] if 0 <= number < len(self.states) else UNTAKEN
 
-    def set(self, number: int, state: int) -> None:
+    def set_state(self, number: int, state: int) -> None:
         if number >= len(self.states):
-            # numbers are given one after the other; one far beyond is a spoilt record that passed its
-            # checksum
+            # GETs are numbered consecutively. A much larger number comes from a corrupt record whose checksum
+            # happens to match, so the growth is limited.
             self.states.extend(bytes(min(number - len(self.states) + 1024, 1 << 24)))
         if 0 <= number < len(self.states):
             self.states[number] = state
 
     def taken(self, record: model.Taken) -> None:
         began = self.boot.began
-        told = began.services if began else []
-        service = told[record.service] if 0 <= record.service < len(told) else None
+        services = began.services if began else []
+        service = services[record.service] if 0 <= record.service < len(services) else None
         if self.state(record.get) != UNTAKEN:
             self.stray(record)
             return
-        self.set(record.get, TAKEN)
-        get = self.open[record.get] = Get(self.gateway, self.boot.number, record, service)
-        self.note(get, record)
+        self.set_state(record.get, TAKEN)
+        get = self.open_gets[record.get] = Get(self.gateway, self.boot.number, record, service)
+        self.add_to_history(get, record)
         self.listener.record(self.gateway, self.boot.number, record)
 
     def came(self, record: model.Came) -> None:
-        get = self.open.get(record.get)
+        get = self.open_gets.get(record.get)
         if get is None:
             return
-        if leg := get.legs.get(record.leg):
+        if leg := get.forwards.get(record.leg):
             leg.came = record
-            self.note(get, record)
+            self.add_to_history(get, record)
             self.listener.came(get, leg)
-        if (get.answered or get.left) and not get.out:
-            self.done(get)
+        if (get.answered or get.left_at) and not get.has_pending_forward:
+            self.finish(get)
 
     def answered(self, record: model.Answered) -> None:
-        state, get = self.state(record.get), self.open.get(record.get)
+        state, get = self.state(record.get), self.open_gets.get(record.get)
         if state == TAKEN and get:
-            self.set(record.get, ANSWERED)
+            self.set_state(record.get, ANSWERED)
             get.answered = record
-            self.note(get, record)
+            self.add_to_history(get, record)
             self.listener.answered(get)
-            if not get.out:
-                self.done(get)
+            if not get.has_pending_forward:
+                self.finish(get)
         elif state in (ANSWERED, TWICE, LEFT):
-            self.set(record.get, TWICE)
-            if state != TWICE:  # counted as once or left before, or still open with its first answer
+            self.set_state(record.get, TWICE)
+            if state != TWICE:  # already counted as once or left, or still in progress after its first answer
                 if get:
-                    self.note(get, record)
+                    self.add_to_history(get, record)
                 else:
                     self.boot.verdicts["once" if state == ANSWERED else "left"] -= 1
                     self.boot.verdicts["twice"] += 1
                 self.listener.stray(self.gateway, self.boot.number, record)
-        elif self.gap_at >= 0 or state == HIDDEN or not self.whole_start():
+        elif self.latest_gap_at >= 0 or state == HIDDEN or not self.has_first_record():
             self.boot.verdicts["hidden"] += state != HIDDEN
-            self.set(record.get, HIDDEN)
+            self.set_state(record.get, HIDDEN)
         else:
             self.stray(record)
 
-    def whole_start(self) -> bool:
-        """Whether the boot's records are here from its first one on."""
+    def has_first_record(self) -> bool:
+        """Whether the boot's records are available from the first one on."""
         return self.boot.began is not None
 
     def stray(self, record: model.Taken | model.Answered) -> None:
@@ -218,61 +225,62 @@
         self.listener.stray(self.gateway, self.boot.number, record)
 
     def left(self, record: model.Left) -> None:
-        if get := self.open.get(record.get):
-            get.left = record.at
-            self.note(get, record)
+        if get := self.open_gets.get(record.get):
+            get.left_at = record.at
+            self.add_to_history(get, record)
             if get.answered is None:
-                self.set(record.get, LEFT)
-            if not get.out:
-                self.done(get)
+                self.set_state(record.get, LEFT)
+            if not get.has_pending_forward:
+                self.finish(get)
 
-    def done(self, get: Get) -> None:
-        del self.open[get.taken.get]
+    def finish(self, get: Get) -> None:
+        del self.open_gets[get.taken.get]
         twice = self.state(get.taken.get) == TWICE
         verdict = "twice" if twice else "once" if get.answered else "left"
-        self.verdict(get, verdict)
+        self.record_verdict(get, verdict)
 
-    def verdict(self, get: Get, verdict: str) -> None:
+    def record_verdict(self, get: Get, verdict: str) -> None:
         self.boot.verdicts[verdict] += 1
         self.listener.over(get, verdict)
 
-    def gap(self, why: str, count: int, since: int = 0) -> None:
+    def record_gap(self, reason: str, count: int, since: int = 0) -> None:
         boot = self.boot
-        self.gap_at = boot.last
-        boot.gaps.append((since or boot.last, boot.last, count, why))
+        self.latest_gap_at = boot.last
+        boot.gaps.append((since or boot.last, boot.last, count, reason))
 
-    def turn(self, number: int) -> None:
-        """Another boot begins: the one before has ended, cleanly or not."""
+    def start_boot(self, number: int) -> None:
+        """Starts a new boot; the previous one has ended, cleanly or not."""
         if self.boots:
-            self.end(running=False)
+            self.end_boot(running=False)
         self.boots.append(Boot(self.gateway, number))
-        self.open, self.states, self.gap_at = {}, bytearray(), -1
+        self.open_gets, self.states, self.latest_gap_at = {}, bytearray(), -1
 
-    def end(self, running: bool) -> None:
+    def end_boot(self, running: bool) -> None:
         boot = self.boot
-        for get in list(self.open.values()):
-            due = get.taken.at + get.taken.left + TOLERANCE
-            if get.answered or get.left:
+        for get in list(self.open_gets.values()):
+            deadline = get.taken.at + get.taken.left + TIMEOUT_TOLERANCE
+            if get.answered or get.left_at:
                 verdict = (
                     "twice" if self.state(get.taken.get) == TWICE else "once" if get.answered else "left"
                 )
-            elif self.gap_at >= get.taken.at:
+            elif self.latest_gap_at >= get.taken.at:
                 verdict = "hidden"
-            elif boot.stopped or due < boot.last:
+            elif boot.stopped or deadline < boot.last:
                 verdict = "none"
             else:
                 verdict = "open" if running else "crash"
-            self.verdict(get, verdict)
-        self.open = {}
+            self.record_verdict(get, verdict)
+        self.open_gets = {}
 
     def close(self, running: bool = True) -> None:
-        """The records end here; `running`: the last boot may still write."""
+        """Ends the records; `running`: the last boot may still be writing."""
         if self.boots:
-            self.end(running)
+            self.end_boot(running)
 
 
-def total(boots: Iterable[Boot]) -> Counter[str]:
-    counted: Counter[str] = Counter()
+def total_verdicts(boots: Iterable[Boot]) -> Counter[str]:
+    """Returns the verdicts of all boots, summed."""
+    verdicts: Counter[str] = Counter()
     for boot in boots:
-        counted.update({verdict: n for verdict, n in boot.verdicts.items() if n})
-    return counted
+        verdicts.update({verdict: n for verdict, n in boot.verdicts.items() if n})
+    return verdicts
--- a/damsonstream/incident/gather.py
+++ b/damsonstream/incident/gather.py
@@ -1,8 +1,8 @@
-"""Reads the records of a fleet from a folder and tells them as one `Incident`.
+"""Reads the records of a fleet from a folder and analyzes them as one `Incident`.
 
-How it is called: `gather(folder)`; `render/` turns the result into pages. The store is gone through twice, a
-segment at a time: once for the clocks, once for the rest. All judgement is in the pure modules beside this
-one.
+`analyze(folder)` returns the result and `summary(incident)` the same as plain data. The records are read
+twice, one segment at a time: first to align the clocks, then for everything else. The analysis itself is in
+the pure modules of this package.
 """
 
 from __future__ import annotations
@@ -15,24 +15,35 @@
 from pathlib import Path
 from typing import Any
 
-from damsonstream.incident.accounting import BROKEN, GOOD, Boot, Get, Ledger, Leg, Stray, total
-from damsonstream.incident.clocks import Clocks, Sighting, Told, align, steps
+from damsonstream.incident.accounting import (
+    COMPLETE,
+    VIOLATIONS,
+    Boot,
+    Get,
+    Ledger,
+    Leg,
+    Stray,
+    total_verdicts,
+)
+from damsonstream.incident.clocks import Clocks, Sighting, Told, align, find_steps
 from damsonstream.incident.phases import Phase, Watch
-from damsonstream.incident.rules import Finding, Rules
-from damsonstream.incident.words import words
+from damsonstream.incident.rules import Finding, RuleChecker
+from damsonstream.incident.words import describe_step
 from damsonstream.records import model, store
 from damsonstream.records.store import Item, Problem
 
-# Kinds that tell of clocks: the others are not even decoded in the first pass.
-CLOCKS = store.tags(model.Began, model.Stopped, model.Listed, model.Purge, model.Pulse, model.Dropped)
-STORIES = 24  # GETs that are told whole, of each sort
+# Kinds that are used to align clocks; the first pass does not decode any others.
+CLOCK_KINDS = store.kind_tags(
+    model.Began, model.Stopped, model.Listed, model.Purge, model.Pulse, model.Dropped
+)
+MAX_STORIES = 24  # for each sort of story
 
 
 @dataclass(slots=True)
 class Story:
-    """One GET, told whole."""
+    """The full history of one GET."""
 
-    sort: str
+    sort: str  # verdict, outcome or cause for which the GET was selected
     gateway: str
     boot: int
     ident: str
@@ -40,14 +51,16 @@
     at: int  # fleet time
     verdict: str
     outcome: str
-    took: int
-    steps: list[tuple[int, str]]  # after how long, what
+    took: int  # from its acceptance to the final answer
+    steps: list[tuple[int, str]]  # time since its acceptance, description
 
 
 @dataclass(slots=True)
 class Incident:
+    """The result of the analysis."""
+
     folder: Path
-    names: list[str]
+    names: list[str]  # of the gateways
     clocks: Clocks
     boots: list[Boot]
     phases: list[Phase]
@@ -56,14 +69,14 @@
     stories: list[Story]
     problems: list[tuple[str, Problem]]
     problem_count: int
-    steps: list[tuple[str, int, int, int]]  # gateway, boot, at, size: system clocks that were moved
+    steps: list[tuple[str, int, int, int]]  # steps of system clocks: gateway, boot, time, size
     records: int
     bytes: int
-    seconds: float  # that the reading took
+    seconds: float  # duration of the analysis
 
     @property
     def verdicts(self) -> Counter[str]:
-        return total(self.boots)
+        return total_verdicts(self.boots)
 
     @property
     def turned(self) -> Counter[str]:
@@ -74,8 +87,8 @@
 
     @property
     def accounted(self) -> bool:
-        """Every GET has one answer, or it is told why none can be owed or seen."""
-        return not any(self.verdicts[verdict] for verdict in BROKEN)
+        """Whether each GET has exactly one answer or a valid reason for having none."""
+        return not any(self.verdicts[verdict] for verdict in VIOLATIONS)
 
     @property
     def span(self) -> tuple[int, int]:
@@ -88,140 +101,144 @@
 
 
 @dataclass
-class Tales:
-    """Keeps the stories of a bounded number of GETs, of each sort those that tell most."""
+class StorySelector:
+    """Selects the stories to report: for each sort, a bounded number with the highest weight."""
 
     clocks: Clocks
     heaps: dict[str, list[tuple[float, int, Story]]] = field(default_factory=dict)
-    count: int = 0
+    sequence: int = 0
 
     def over(self, get: Get, verdict: str) -> None:
         answer = get.answered
-        took = answer.at - get.taken.at if answer else 0
+        duration = answer.at - get.taken.at if answer else 0
         outcome = answer.outcome if answer else ""
-        if verdict not in GOOD:
+        if verdict not in COMPLETE:
             sort, weight = verdict, 0.0
         elif outcome in ("shed", "errored"):
-            sort, weight = outcome, float(len(get.legs))
+            sort, weight = outcome, float(len(get.forwards))
         elif verdict == "left":
-            sort, weight = "left", float(len(get.legs))
-        elif len(get.legs) > 1:
-            sort, weight = "several forwards", float(took)
-        elif get.service and took > get.service.objective:
-            sort, weight = "slow", float(took)
+            sort, weight = "left", float(len(get.forwards))
+        elif len(get.forwards) > 1:
+            sort, weight = "several forwards", float(duration)
+        elif get.service and duration > get.service.objective:
+            sort, weight = "slow", float(duration)
         else:
             sort, weight = "usual", 0.0
         heap = self.heaps.setdefault(sort, [])
-        if len(heap) >= STORIES and weight <= heap[0][0]:
+        if len(heap) >= MAX_STORIES and weight <= heap[0][0]:
             return
-        self.count += 1
-        entry = (weight, -self.count, self.story(get, sort, verdict, outcome, took))
-        heapq.heappush(heap, entry) if len(heap) < STORIES else heapq.heapreplace(heap, entry)
+        self.sequence += 1
+        entry = (weight, -self.sequence, self.story(get, sort, verdict, outcome, duration))
+        heapq.heappush(heap, entry) if len(heap) < MAX_STORIES else heapq.heapreplace(heap, entry)
 
-    def story(self, get: Get, sort: str, verdict: str, outcome: str, took: int) -> Story:
+    def story(self, get: Get, sort: str, verdict: str, outcome: str, duration: int) -> Story:
         at = self.clocks.fleet((get.gateway, get.boot), get.taken.at)
         service = get.service.name if get.service else str(get.taken.service)
-        steps = [(record.at - get.taken.at, words(record)) for record in get.story]
-        return Story(sort, get.gateway, get.boot, get.taken.ident, service, at, verdict, outcome, took, steps)
+        steps = [(record.at - get.taken.at, describe_step(record)) for record in get.history]
+        return Story(
+            sort, get.gateway, get.boot, get.taken.ident, service, at, verdict, outcome, duration, steps
+        )
 
-    def all(self) -> list[Story]:
+    def selected(self) -> list[Story]:
         return [story for _, heap in sorted(self.heaps.items()) for _, _, story in sorted(heap, reverse=True,
                 key=lambda entry: entry[:2])]  # fmt: skip
 
 
-class Both:
-    """Tells several listeners."""
+class ListenerGroup:
+    """Passes events on to several listeners."""
 
-    def __init__(self, watch: Watch, rules: Rules, tales: Tales) -> None:
-        self.watch, self.rules, self.tales = watch, rules, tales
+    def __init__(self, phases: Watch, rules: RuleChecker, stories: StorySelector) -> None:
+        self.phases, self.rules, self.stories = phases, rules, stories
 
     def record(self, gateway: str, boot: int, record: model.AnyRecord) -> None:
-        self.watch.record(gateway, boot, record)
+        self.phases.record(gateway, boot, record)
         self.rules.record(gateway, boot, record)
 
     def sent(self, get: Get, sent: model.Sent) -> None:
-        self.watch.sent(get, sent)
+        self.phases.sent(get, sent)
         self.rules.sent(get, sent)
 
     def came(self, get: Get, leg: Leg) -> None:
-        self.watch.came(get, leg)
+        self.phases.came(get, leg)
         self.rules.came(get, leg)
 
     def answered(self, get: Get) -> None:
-        self.watch.answered(get)
+        self.phases.answered(get)
         self.rules.answered(get)
 
     def over(self, get: Get, verdict: str) -> None:
-        self.watch.over(get, verdict)
+        self.phases.over(get, verdict)
         self.rules.over(get, verdict)
-        self.tales.over(get, verdict)
+        self.stories.over(get, verdict)
 
     def stray(self, gateway: str, boot: int, record: Stray) -> None:
         self.rules.stray(gateway, boot, record)
 
 
-def sightings(
-    name: str, entries: Iterable[Item | Problem]
+def clock_evidence(
+    gateway: str, entries: Iterable[Item | Problem]
 ) -> Iterator[Sighting | Told | tuple[str, int, int, int]]:
-    """What one gateway's records tell of its clocks: common events, its boots, steps of the system's
-    clock."""
+    """Yields one gateway's observations of common events, its boots, and the steps of its system clock."""
     boot, first, last = -1, 0, 0
     pulses: list[tuple[int, int]] = []
 
-    def ended() -> Iterator[Told | tuple[str, int, int, int]]:
-        moved = steps(pulses)
-        yield Told((name, boot), first, last, sum(size for _, size in moved))
-        for at, size in moved:
-            yield (name, boot, at, size)
+    def finish_boot() -> Iterator[Told | tuple[str, int, int, int]]:
+        clock_steps = find_steps(pulses)
+        yield Told((gateway, boot), first, last, sum(size for _, size in clock_steps))
+        for at, size in clock_steps:
+            yield (gateway, boot, at, size)
 
     for entry in entries:
         if entry.boot != boot:
             if boot >= 0:
-                yield from ended()
+                yield from finish_boot()
             boot, first, last, pulses = entry.boot, 0, 0, []
         if isinstance(entry, Problem):
             continue
         record = entry.record
         first, last = first or record.at, max(last, record.at)
         if isinstance(record, model.Purge) and record.number:
-            yield Sighting((name, boot), ("purge", record.thing, record.group, record.issued), record.at)
+            yield Sighting((gateway, boot), ("purge", record.thing, record.group, record.issued), record.at)
         elif isinstance(record, model.Listed) and record.number and not record.whole:
             lines = tuple(sorted((line.cache, line.state, line.since) for line in record.lines))
-            yield Sighting((name, boot), ("list", lines), record.at)
+            yield Sighting((gateway, boot), ("list", lines), record.at)
         elif isinstance(record, model.Pulse | model.Began):
             pulses.append((record.at, record.unix))
     if boot >= 0:
-        yield from ended()
+        yield from finish_boot()
 
 
-def read_clocks(folders: dict[str, Path]) -> tuple[Clocks, list[tuple[str, int, int, int]]]:
-    seen: list[Sighting] = []
+def align_clocks(folders: dict[str, Path]) -> tuple[Clocks, list[tuple[str, int, int, int]]]:
+    observed: list[Sighting] = []
     boots: list[Told] = []
-    moved: list[tuple[str, int, int, int]] = []
+    clock_steps: list[tuple[str, int, int, int]] = []
     for name, folder in folders.items():
-        for found in sightings(name, store.Reader(folder).read(CLOCKS)):
+        for found in clock_evidence(name, store.Reader(folder).read(CLOCK_KINDS)):
             if isinstance(found, Sighting):
-                seen.append(found)
+                observed.append(found)
             elif isinstance(found, Told):
                 boots.append(found)
             else:
-                moved.append(found)
-    return align(seen, boots), moved
+                clock_steps.append(found)
+    return align(observed, boots), clock_steps
 
 
 MOST_PROBLEMS = 200
 
 
 def gather(folder: Path, names: Iterable[str] = (), running: bool = False) -> Incident:
-    """`running`: gateways may still write, so that what is open at the end is not lost."""
-    began = time.monotonic()
+    """Analyzes the records in a folder, of all gateways or only of those in `names`.
+
+    `running`: the gateways may still be writing, so GETs in progress at the end do not count as lost.
+    """
+    started = time.monotonic()
     folders = store.gateways(folder)
     wanted = list(names)
     if wanted:
         folders = {name: path for name, path in folders.items() if name in wanted}
-    clocks, moved = read_clocks(folders)
-    watch, rules, tales = Watch(clocks), Rules(clocks), Tales(clocks)
-    listener = Both(watch, rules, tales)
+    clocks, clock_steps = align_clocks(folders)
+    detector, checker, selector = Watch(clocks), RuleChecker(clocks), StorySelector(clocks)
+    listener = ListenerGroup(detector, checker, selector)
     boots: list[Boot] = []
     problems: list[tuple[str, Problem]] = []
     count = size = problem_count = 0
@@ -238,40 +255,39 @@
         ledger.close(running)
         boots += ledger.boots
         size += reader.bytes
-    phases, findings, stories = watch.phases(boots), rules.findings(), tales.all()
-    return Incident(folder, list(folders), clocks, boots, phases, findings, watch, stories, problems,
-                    problem_count, moved, count, size, time.monotonic() - began)  # fmt: skip
+    phases, findings, stories = detector.phases(boots), checker.findings(), selector.selected()
+    return Incident(folder, list(folders), clocks, boots, phases, findings, detector, stories, problems,
+                    problem_count, clock_steps, count, size, time.monotonic() - started)  # fmt: skip
 
 
 def merged(folder: Path, names: Iterable[str] = ()) -> Iterator[tuple[int, str, Item]]:
-    """All records in fleet time, in bounded memory; within a gateway their own order is kept."""
+    """Yields all records ordered by fleet time, in bounded memory; the order within a gateway is kept."""
     folders = store.gateways(folder)
     wanted = set(names) or set(folders)
-    clocks, _ = read_clocks(folders)
+    clocks, _ = align_clocks(folders)
 
-    def one(name: str) -> Iterator[tuple[int, str, int, Item]]:
+    def gateway_entries(name: str) -> Iterator[tuple[int, str, int, Item]]:
         latest = 0
-        for place, entry in enumerate(store.Reader(folders[name]).read()):
+        for index, entry in enumerate(store.Reader(folders[name]).read()):
             if isinstance(entry, Item):
-                # a clock that was set back between two boots does not bring the later one before the earlier
+                # keeps boots in order even if the clock was set back between them
                 latest = max(latest, clocks.fleet((name, entry.boot), entry.record.at))
-                yield latest, name, place, entry
+                yield latest, name, index, entry
 
-    for at, name, _, item in heapq.merge(*(one(name) for name in folders if name in wanted),
+    for at, name, _, item in heapq.merge(*(gateway_entries(name) for name in folders if name in wanted),
                                          key=lambda entry: entry[:3]):  # fmt: skip
         yield at, name, item
 
 
 def summary(incident: Incident) -> dict[str, Any]:
-    """The whole result as plain data: what `report --format json` prints. Times in Unix seconds, lengths in
-    ms."""
+    """Returns the result as plain data for `report --format json`: times in Unix seconds, durations in ms."""
     start, end = incident.span
-    watch = incident.watch
+    detector = incident.watch
 
     def seconds(at: int) -> float:
         return round(at / 10_000, 4)
 
-    def sure(value: int) -> float | None:
+    def uncertainty_ms(value: int) -> float | None:
         return None if value < 0 else value / 10
 
     return {
@@ -301,9 +317,9 @@
                 "clock": {
                     "offset_ms": fit.offset / 10,
                     "drift_ppm": round(fit.drift * 1e6, 1),
-                    "uncertainty_ms": sure(fit.sure),
-                    "from": fit.how,
-                    "events": fit.events,
+                    "uncertainty_ms": uncertainty_ms(fit.uncertainty),
+                    "from": fit.basis,
+                    "events": fit.event_count,
                 },
                 "gaps": [
                     {
@@ -325,7 +341,7 @@
                 "start": seconds(phase.start),
                 "end": seconds(phase.end),
                 "open": phase.open,
-                "uncertainty_ms": sure(phase.sure),
+                "uncertainty_ms": uncertainty_ms(phase.sure),
                 "gateways": phase.gateways,
                 "evidence": phase.evidence,
                 "cost": {
@@ -343,19 +359,19 @@
         "services": {
             name: {
                 **{
-                    outcome: round(watch.rates.total((outcome, name), start, end + 1), 1)
+                    outcome: round(detector.rates.total((outcome, name), start, end + 1), 1)
                     for outcome in ("taken", "returned", "late", "shed", "errored", "left", "due", "earned")
                 },
-                "latency_ms": watch.latencies.percentiles(name),
+                "latency_ms": detector.latencies.percentiles(name),
             }
-            for name in watch.services
+            for name in detector.services
         },
         "system_clocks_moved": [
             {"gateway": name, "boot": boot, "at": seconds(at), "ms": size / 10}
             for name, boot, at, size in incident.steps
         ],
         "problems": [
-            {"gateway": name, "kind": p.kind, "boot": p.boot, "segment": p.segment, "at": p.at,
+            {"gateway": name, "kind": p.kind, "boot": p.boot, "segment": p.segment, "at": p.offset,
              "records": p.count, "detail": p.detail}
             for name, p in incident.problems
         ],
--- a/damsonstream/incident/rates.py
+++ b/damsonstream/incident/rates.py
@@ -1,8 +1,8 @@
-"""Counts by time, delivery service and node, in buckets that grow wider as the span does. No I/O.
+"""Sums by time bucket and key, with bounded memory: buckets get wider as the time span grows. No I/O.
 
-How it is called: `Rates(width)` takes `add(at, key, amount)` and gives `series(...)`; times are fleet time in
-tenths of a millisecond. `Latencies` keeps an HDR histogram of each delivery service (library hdrhistogram),
-and a coarse one in each bucket.
+`TimeBuckets(width)` accepts `add(at, key, amount)` and returns `series(...)`; times are fleet time in ticks
+of 0.1 ms. `Latencies` keeps an HDR histogram for each delivery service (library hdrhistogram) and a coarse
+histogram for each time bucket.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 from hdrh.histogram import HdrHistogram
 
 MS, S = 10, 10_000
-MOST = 4096  # buckets: a chart shows fewer, and each doubling of the span only halves the resolution
+MAX_BUCKETS = 4096  # more than a chart shows; beyond it the bucket width doubles
 
 
 class Rates:
-    """Sums by bucket and key."""
+    """Sums by time bucket and key."""
 
     def __init__(self, width: int = S // 2) -> None:
         self.width = width
         self.buckets: dict[int, dict[Hashable, float]] = {}
 
     def add(self, at: int, key: Hashable, amount: float = 1.0) -> None:
-        place = at // self.width
-        bucket = self.buckets.get(place)
+        index = at // self.width
+        bucket = self.buckets.get(index)
         if bucket is None:
-            bucket = self.buckets[place] = defaultdict(float)
-            if len(self.buckets) > MOST:
-                self.widen()
+            bucket = self.buckets[index] = defaultdict(float)
+            if len(self.buckets) > MAX_BUCKETS:
+                self.double_width()
                 bucket = self.buckets[at // self.width]
         bucket[key] += amount
 
-    def widen(self) -> None:
+    def double_width(self) -> None:
         self.width *= 2
         wider: dict[int, dict[Hashable, float]] = {}
-        for place, bucket in self.buckets.items():
-            into = wider.setdefault(place // 2, defaultdict(float))
+        for index, bucket in self.buckets.items():
+            target = wider.setdefault(index // 2, defaultdict(float))
             for key, amount in bucket.items():
-                into[key] += amount
+                target[key] += amount
         self.buckets = wider
 
     def span(self) -> tuple[int, int]:
@@ -49,7 +49,7 @@
         return min(self.buckets) * self.width, (max(self.buckets) + 1) * self.width
 
     def series(self, key: Hashable) -> list[tuple[int, float]]:
-        """Beginning of each bucket and the sum in it, with the empty ones between."""
+        """Returns the start of each bucket, including empty ones, and its sum for the key."""
         if not self.buckets:
             return []
         first, last = min(self.buckets), max(self.buckets)
@@ -57,56 +57,58 @@
         return [(p * self.width, self.buckets.get(p, empty).get(key, 0.0)) for p in range(first, last + 1)]
 
     def total(self, key: Hashable, start: int, end: int) -> float:
-        """Sum from `start` to `end`; a bucket that is cut counts by its part."""
-        found = 0.0
-        for place in range(start // self.width, (end - 1) // self.width + 1 if end > start else 0):
-            if bucket := self.buckets.get(place):
-                inside = min(end, (place + 1) * self.width) - max(start, place * self.width)
-                found += bucket.get(key, 0.0) * inside / self.width
-        return found
+        """Returns the sum from `start` to `end`; a partly covered bucket counts in proportion."""
+        total = 0.0
+        for index in range(start // self.width, (end - 1) // self.width + 1 if end > start else 0):
+            if bucket := self.buckets.get(index):
+                overlap = min(end, (index + 1) * self.width) - max(start, index * self.width)
+                total += bucket.get(key, 0.0) * overlap / self.width
+        return total
 
     def keys(self) -> set[Hashable]:
         return {key for bucket in self.buckets.values() for key in bucket}
 
 
-STEP = log(1.15)  # coarse buckets of 15%: a chart's line is no finer
+LOG_BUCKET_STEP = log(1.15)  # latency buckets 15% wide, which is fine enough for a line in a chart
 
 
 class Latencies:
-    """From taken to the final answer, returned ones only."""
+    """Latency distributions by key, over the whole span and by time bucket."""
 
     def __init__(self) -> None:
         self.whole: dict[str, HdrHistogram] = {}
-        self.rates = Rates()
+        self.counts = Rates()
 
-    def add(self, at: int, service: str, took: int) -> None:
+    def add(self, at: int, service: str, duration: int) -> None:
         if service not in self.whole:
             self.whole[service] = HdrHistogram(1, 3600 * S, 3)
-        took = max(1, took)
-        self.whole[service].record_value(min(took, 3600 * S - 1))
-        self.rates.add(at, (service, int(log(took) / STEP)))
-
-    def percentiles(self, service: str, shares: tuple[float, ...] = (50, 95, 99, 99.9)) -> dict[str, float]:
-        """Milliseconds."""
+        duration = max(1, duration)
+        self.whole[service].record_value(min(duration, 3600 * S - 1))
+        self.counts.add(at, (service, int(log(duration) / LOG_BUCKET_STEP)))
+
+    def percentiles(
+        self, service: str, percentiles: tuple[float, ...] = (50, 95, 99, 99.9)
+    ) -> dict[str, float]:
+        """Returns percentiles of the whole span in ms, by name: p50, p95, p99, p99.9."""
         histogram = self.whole.get(service)
         if histogram is None:
             return {}
-        return {f"p{share:g}": histogram.get_value_at_percentile(share) / MS for share in shares}
+        return {f"p{share:g}": histogram.get_value_at_percentile(share) / MS for share in percentiles}
 
-    def series(self, service: str, share: float) -> Iterator[tuple[int, float]]:
-        """Beginning of each bucket and that percentile in it, in milliseconds."""
-        for place in sorted(self.rates.buckets):
+    def series(self, service: str, quantile: float) -> Iterator[tuple[int, float]]:
+        """Yields the start of each bucket and the quantile (0 to 1) of its latencies, in ms."""
+        for index in sorted(self.counts.buckets):
             levels = sorted(
                 (key[1], amount)
-                for key, amount in self.rates.buckets[place].items()
+                for key, amount in self.counts.buckets[index].items()
                 if isinstance(key, tuple) and key[0] == service
             )
             count = sum(amount for _, amount in levels)
             if not count:
                 continue
-            reached = 0.0
+            cumulative = 0.0
             for level, amount in levels:
-                reached += amount
-                if reached >= share * count:
-                    yield place * self.rates.width, exp((level + 0.5) * STEP) / MS
+                cumulative += amount
+                if cumulative >= quantile * count:
+                    yield index * self.counts.width, exp((level + 0.5) * LOG_BUCKET_STEP) / MS
                     break
--- a/damsonstream/incident/rules.py
+++ b/damsonstream/incident/rules.py
@@ -1,9 +1,8 @@
-"""Which of the five rules the records can prove kept, broken, or not tell. No I/O.
+"""Checks from the records whether each of the five rules was kept. No I/O.
 
-How it is called: `Rules(clocks)` is told of GETs and news as `accounting.Listener` is, and gives
-`findings()`. A rule is broken where a record shows it, can't tell where something that would show it is
-missing, and kept otherwise; the findings say how many cases stand behind each word. The rules are worded in
-docs/design.md.
+`RuleChecker(clocks)` receives events as an `accounting.Listener` and returns `findings()`. The verdict on a
+rule is "broken" if a record shows a violation, "can't tell" if records that could show one are missing, and
+"kept" otherwise; a finding also counts the cases behind its verdict. The rules are defined in docs/design.md.
 """
 
 from __future__ import annotations
@@ -11,28 +10,38 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from damsonstream.incident.accounting import BROKEN, TOLERANCE, Get, Leg, Stray
+from damsonstream.incident.accounting import TIMEOUT_TOLERANCE, VIOLATIONS, Get, Leg, Stray
 from damsonstream.incident.clocks import Clocks
 from damsonstream.records import model
 
 MS, S = 10, 10_000
-# Where a boot does not tell its graces: the largest that an installation has used so far.
-DRAIN_GRACE, PURGE_GRACE = 2 * S, 500 * MS
-NEVER_RAN = ("shed", "lacking", "unreached", "unsent")  # endings that prove that nothing ran
-EXAMPLES = 8  # cases kept for each rule
-SETTLED = 600 * S  # a purge is forgotten after this: every copy has settled long before
-# A cold node is one whose start is told and less than this ago; gateways are told the real time, records not.
-COLD = 30 * S
+# For boots that do not record their grace periods: the largest that an installation has used so far.
+DEFAULT_DRAIN_GRACE, DEFAULT_PURGE_GRACE = 2 * S, 500 * MS
+NOT_EXECUTED = (
+    "shed",
+    "lacking",
+    "unreached",
+    "unsent",
+)  # results that prove that the request was not executed
+MAX_EXAMPLES = 8  # for each rule
+PURGE_RETENTION = (
+    600 * S
+)  # purges are checked this long; every cached copy has been replaced or removed long before
+# A node counts as cold for this long after its reported start. Gateways know the exact duration, but it is
+# not recorded.
+COLD_PERIOD = 30 * S
 
 
 @dataclass(slots=True)
 class Finding:
+    """The result of one rule. The fields are also keys of the JSON report."""
+
     number: int
     name: str
-    cases: int = 0  # what could have broken it
-    broken: int = 0
-    untold: int = 0  # cases where the records do not show it
-    why: str = ""
+    cases: int = 0  # events that could have violated it
+    broken: int = 0  # violations
+    untold: int = 0  # cases that the records can't decide
+    why: str = ""  # why they can't
     examples: list[str] = field(default_factory=list)
 
     @property
@@ -43,110 +52,137 @@
 
 
 @dataclass(slots=True)
-class Gateway:
-    """What one boot was told."""
+class BootView:
+    """What one boot knew about caches and purges, at the current point of its records."""
+
+    cache_states: dict[str, tuple[str, int, str]] = field(
+        default_factory=dict
+    )  # cache: state, since, location
+    purges: dict[str | int, tuple[int, int]] = field(
+        default_factory=dict
+    )  # object or group: received, issued
+    started_at: dict[str, int] = field(default_factory=dict)  # cache: its reported start time
+    drain_grace: int = DEFAULT_DRAIN_GRACE
+    purge_grace: int = DEFAULT_PURGE_GRACE
 
-    states: dict[str, tuple[str, int, str]] = field(default_factory=dict)  # cache: state, since, location
-    purges: dict[str | int, tuple[int, int]] = field(default_factory=dict)  # object or group: told, issued
-    starts: dict[str, int] = field(default_factory=dict)  # cache: its start, as told
-    drain_grace: int = DRAIN_GRACE
-    purge_grace: int = PURGE_GRACE
 
+class RuleChecker:
+    """An `accounting.Listener` that counts violations of the five rules."""
 
-class Rules:
     def __init__(self, clocks: Clocks) -> None:
         self.clocks = clocks
+        # Names of the rules in reports. The third is about draining nodes, the fourth about the load on nodes
+        # that started recently with an empty cache.
         names = ("one final answer in time", "no effect twice", "drains kept", "cold ones not pushed over",
                  "purges kept")  # fmt: skip
-        self.found = [Finding(number, name) for number, name in enumerate(names, 1)]
-        self.boots: dict[tuple[str, int], Gateway] = {}
-        self.cold: Counter[tuple[str, int]] = Counter()  # forwards to a cold node, by fleet second
-        self.fell: Counter[str] = Counter()  # forwards of cold nodes that show one falling over
-        self.gone: dict[tuple[str, int], set[int]] = defaultdict(set)  # GETs answered with a forward out
+        self.results = [Finding(number, name) for number, name in enumerate(names, 1)]
+        self.boots: dict[tuple[str, int], BootView] = {}
+        self.cold_forwards: Counter[tuple[str, int]] = (
+            Counter()
+        )  # forwards to each cold node in each second of fleet time
+        self.cold_failures: Counter[str] = Counter()  # failed forwards to cold nodes that indicate overload
+        self.answered_early: dict[tuple[str, int], set[int]] = defaultdict(
+            set
+        )  # GETs answered before all their forwards had ended
 
-    def one(self, number: int) -> Finding:
-        return self.found[number - 1]
+    def finding(self, number: int) -> Finding:
+        return self.results[number - 1]
 
-    def broke(self, number: int, text: str) -> None:
-        finding = self.one(number)
+    def add_violation(self, number: int, text: str) -> None:
+        finding = self.finding(number)
         finding.broken += 1
-        if len(finding.examples) < EXAMPLES:
+        if len(finding.examples) < MAX_EXAMPLES:
             finding.examples.append(text)
 
-    def of(self, gateway: str, boot: int) -> Gateway:
-        return self.boots.setdefault((gateway, boot), Gateway())
+    def boot_view(self, gateway: str, boot: int) -> BootView:
+        return self.boots.setdefault((gateway, boot), BootView())
 
-    # news
+    # lists of caches, purges and settings
 
     def record(self, gateway: str, boot: int, record: model.AnyRecord) -> None:
-        seen = self.of(gateway, boot)
+        known = self.boot_view(gateway, boot)
         if isinstance(record, model.Listed):
-            self.listed(seen, record)
+            self.update_caches(known, record)
         elif isinstance(record, model.Purge):
             key = record.thing or record.group
-            told, issued = seen.purges.get(key, (record.at, 0))
-            if len(seen.purges) > 4096:  # emptied by time
-                seen.purges = {k: v for k, v in seen.purges.items() if v[0] > record.at - SETTLED}
-            seen.purges[key] = (record.at if record.issued > issued else told, max(issued, record.issued))
+            received, issued = known.purges.get(key, (record.at, 0))
+            if len(known.purges) > 4096:  # removes expired purges
+                known.purges = {k: v for k, v in known.purges.items() if v[0] > record.at - PURGE_RETENTION}
+            known.purges[key] = (
+                record.at if record.issued > issued else received,
+                max(issued, record.issued),
+            )
         elif isinstance(record, model.Began):
-            seen.drain_grace = record.drain_grace or DRAIN_GRACE
-            seen.purge_grace = record.purge_grace or PURGE_GRACE
+            known.drain_grace = record.drain_grace or DEFAULT_DRAIN_GRACE
+            known.purge_grace = record.purge_grace or DEFAULT_PURGE_GRACE
         elif isinstance(record, model.Turned):
-            self.one(1).cases += 1
+            self.finding(1).cases += 1
 
-    def listed(self, seen: Gateway, record: model.Listed) -> None:
+    def update_caches(self, known: BootView, record: model.Listed) -> None:
         if record.whole and not record.more:
-            here = {line.cache for line in record.lines}
-            for cache, (state, _, location) in list(seen.states.items()):
-                if cache not in here and state == "active":
-                    seen.states[cache] = ("left", record.at, location)
+            listed_caches = {line.cache for line in record.lines}
+            for cache, (state, _, location) in list(known.cache_states.items()):
+                if cache not in listed_caches and state == "active":
+                    known.cache_states[cache] = ("left", record.at, location)
         for line in record.lines:
-            state, since, _ = seen.states.get(line.cache, ("", record.at, ""))
-            ending = line.state != "active"
-            was = state not in ("", "active")
-            seen.states[line.cache] = (line.state, since if ending and was else record.at, line.location)
+            state, since, _ = known.cache_states.get(line.cache, ("", record.at, ""))
+            is_ending = line.state != "active"
+            was_ending = state not in ("", "active")
+            known.cache_states[line.cache] = (
+                line.state,
+                since if is_ending and was_ending else record.at,
+                line.location,
+            )
             if line.since:
-                seen.starts[line.cache] = line.since
+                known.started_at[line.cache] = line.since
 
     # GETs
 
     def sent(self, get: Get, sent: model.Sent) -> None:
-        seen = self.of(get.gateway, get.boot)
-        where = f"{get.gateway} boot {get.boot} GET {get.taken.ident}"
+        known = self.boot_view(get.gateway, get.boot)
+        label = f"{get.gateway} boot {get.boot} GET {get.taken.ident}"
         if get.answered is not None:
-            self.one(1).cases += 1
-            self.broke(1, f"{where}: forward {sent.leg} to {sent.cache} went out after the final answer")
+            self.finding(1).cases += 1
+            self.add_violation(
+                1, f"{label}: forward {sent.leg} to {sent.cache} was sent after the final answer"
+            )
         effect = get.service.effect if get.service else ""
         if effect and effect != "idempotent":
-            self.again(get, sent, effect, where)
+            self.check_retry(get, sent, effect, label)
         for node in {sent.cache, sent.source}:
-            state, since, _ = seen.states.get(node, ("", 0, ""))
-            self.one(3).cases += 1
-            if state in ("leaving", "left") and sent.at > since + seen.drain_grace + TOLERANCE:
-                late = (sent.at - since) / S
-                self.broke(3, f"{where}: {node} was named {late:.2f} s after it was told to be {state}")
-            if (start := seen.starts.get(node)) and 0 <= sent.at - start < COLD:
+            state, since, _ = known.cache_states.get(node, ("", 0, ""))
+            self.finding(3).cases += 1
+            if state in ("leaving", "left") and sent.at > since + known.drain_grace + TIMEOUT_TOLERANCE:
+                delay_s = (sent.at - since) / S
+                self.add_violation(
+                    3, f"{label}: {node} was used {delay_s:.2f} s after it was reported as {state}"
+                )
+            if (start := known.started_at.get(node)) and 0 <= sent.at - start < COLD_PERIOD:
                 second = self.clocks.fleet((get.gateway, get.boot), sent.at) // S
-                self.cold[node, second] += 1
+                self.cold_forwards[node, second] += 1
 
-    def again(self, get: Get, sent: model.Sent, effect: str, where: str) -> None:
-        finding = self.one(2)
+    def check_retry(self, get: Get, sent: model.Sent, effect: str, label: str) -> None:
+        finding = self.finding(2)
         finding.cases += 1
-        ran = [leg for leg in get.legs.values()
-               if leg.leg != sent.leg and (leg.came is None or leg.came.result not in NEVER_RAN)]  # fmt: skip
-        if not ran:
+        may_have_run = [leg for leg in get.forwards.values() if leg.number != sent.leg
+                        and (leg.came is None or leg.came.result not in NOT_EXECUTED)]  # fmt: skip
+        if not may_have_run:
             return
         if effect == "non-idempotent":
-            self.broke(2, f"{where}: went out again as forward {sent.leg}, after one that may have run")
+            self.add_violation(2, f"{label}: sent again as forward {sent.leg}, after one that may have run")
             return
         assert get.service is not None
-        first = min(ran, key=lambda leg: leg.sent.at)
-        states = self.of(get.gateway, get.boot).states
-        place, other = (states.get(name, ("", 0, ""))[2] for name in (first.sent.cache, sent.cache))
+        first = min(may_have_run, key=lambda leg: leg.sent.at)
+        cache_states = self.boot_view(get.gateway, get.boot).cache_states
+        first_location, retry_location = (
+            cache_states.get(name, ("", 0, ""))[2] for name in (first.sent.cache, sent.cache)
+        )
         if sent.at > first.sent.at + get.service.remembered:
-            self.broke(2, f"{where}: its token was no longer remembered when forward {sent.leg} went out")
-        elif get.service.scope == "zone" and place != other:
-            self.broke(2, f"{where}: forward {sent.leg} left the group that remembers its token")
+            self.add_violation(
+                2, f"{label}: its token was no longer remembered when forward {sent.leg} was sent"
+            )
+        elif get.service.scope == "zone" and first_location != retry_location:
+            self.add_violation(2, f"{label}: forward {sent.leg} left the group that remembers its token")
         elif get.service.scope == "cell" and sent.cache != first.sent.cache:
             finding.untold += 1
             finding.why = "records do not tell which caches share a cell"
@@ -154,76 +190,82 @@
     def came(self, get: Get, leg: Leg) -> None:
         assert leg.came is not None
         came, sent = leg.came, leg.sent
-        seen = self.of(get.gateway, get.boot)
-        starts = seen.starts.get(sent.cache, 0)
-        if starts and 0 <= sent.at - starts < COLD and came.result in ("unreached", "broken", "expired"):
-            self.fell[sent.cache] += 1
+        known = self.boot_view(get.gateway, get.boot)
+        started_at = known.started_at.get(sent.cache, 0)
+        if (
+            started_at
+            and 0 <= sent.at - started_at < COLD_PERIOD
+            and came.result in ("unreached", "broken", "expired")
+        ):
+            self.cold_failures[sent.cache] += 1
         if came.result == "returned":
-            self.purged(get, leg, seen)
+            self.check_purges(get, leg, known)
 
-    def purged(self, get: Get, leg: Leg, seen: Gateway) -> None:
+    def check_purges(self, get: Get, leg: Leg, known: BootView) -> None:
         assert leg.came is not None
         keys: tuple[str | int, ...] = (get.taken.thing, get.taken.group)
         for key in keys:
-            if key not in seen.purges:
+            if key not in known.purges:
                 continue
-            told, issued = seen.purges[key]
-            if not told + seen.purge_grace < leg.sent.at < told + SETTLED:
+            received, issued = known.purges[key]
+            if not received + known.purge_grace < leg.sent.at < received + PURGE_RETENTION:
                 continue
-            finding = self.one(5)
+            finding = self.finding(5)
             finding.cases += 1
             if not leg.came.stamp:
                 finding.untold += 1
-                finding.why = "caches did not tell when the origin gave their copies out"
+                finding.why = "caches did not report when the origin served their copies"
             elif leg.came.stamp * MS < issued - MS:
-                older = issued / S - leg.came.stamp / 1000
-                self.broke(5, f"{get.gateway} boot {get.boot} GET {get.taken.ident}: sent "
-                              f"{(leg.sent.at - told) / S:.2f} s after the purge was told, answered from a "
-                              f"copy {older:.2f} s older than it")  # fmt: skip
+                age_s = issued / S - leg.came.stamp / 1000
+                self.add_violation(5, f"{get.gateway} boot {get.boot} GET {get.taken.ident}: sent "
+                                   f"{(leg.sent.at - received) / S:.2f} s after the purge was received, "
+                                   f"answered from a copy {age_s:.2f} s older than it")  # fmt: skip
 
     def answered(self, get: Get) -> None:
         assert get.answered is not None
-        finding, answer, taken = self.one(1), get.answered, get.taken
+        finding, answer, taken = self.finding(1), get.answered, get.taken
         finding.cases += 1
-        where = f"{get.gateway} boot {get.boot} GET {taken.ident}"
-        if answer.at > taken.at + taken.left + TOLERANCE:
-            late = (answer.at - taken.at - taken.left) / MS
-            self.broke(1, f"{where}: {answer.outcome} {late:.0f} ms after its client's time was up")
+        label = f"{get.gateway} boot {get.boot} GET {taken.ident}"
+        if answer.at > taken.at + taken.left + TIMEOUT_TOLERANCE:
+            overrun_ms = (answer.at - taken.at - taken.left) / MS
+            self.add_violation(1, f"{label}: {answer.outcome} {overrun_ms:.0f} ms after its client's timeout")
         effect = get.service.effect if get.service else ""
-        ran = any(leg.came is None or leg.came.result not in NEVER_RAN for leg in get.legs.values())
+        may_have_run = any(
+            leg.came is None or leg.came.result not in NOT_EXECUTED for leg in get.forwards.values()
+        )
         remembered = effect == "tokened" and get.service is not None and get.service.scope == "all"
-        if answer.outcome == "shed" and ran and effect not in ("idempotent", "") and not remembered:
-            self.one(2).cases += 1
-            self.broke(2, f"{where}: shed, though a forward of it may have run")
+        if answer.outcome == "shed" and may_have_run and effect not in ("idempotent", "") and not remembered:
+            self.finding(2).cases += 1
+            self.add_violation(2, f"{label}: shed, though a forward of it may have run")
 
     def over(self, get: Get, verdict: str) -> None:
-        finding = self.one(1)
-        if verdict in BROKEN:
+        finding = self.finding(1)
+        if verdict in VIOLATIONS:
             finding.cases += 1
-            self.broke(1, f"{get.gateway} boot {get.boot} GET {get.taken.ident}: {verdict}")
+            self.add_violation(1, f"{get.gateway} boot {get.boot} GET {get.taken.ident}: {verdict}")
         elif verdict in ("hidden", "crash"):
             finding.untold += 1
-            finding.why = "answers lost with a crash, or hidden in a gap of the records"
+            finding.why = "answers were lost in a crash or in a gap of the records"
 
     def stray(self, gateway: str, boot: int, record: Stray) -> None:
-        self.one(1).cases += 1
+        self.finding(1).cases += 1
         what = "taken twice"
         if isinstance(record, model.Sent):
-            what = f"forward {record.leg} to {record.cache} went out after its end"
+            what = f"forward {record.leg} to {record.cache} was sent after the GET had ended"
         elif isinstance(record, model.Answered):
-            what = "a second final answer, or one to nobody"
-        self.broke(1, f"{gateway} boot {boot} GET number {record.get}: {what}")
+            what = "a second final answer, or an answer to an unknown GET"
+        self.add_violation(1, f"{gateway} boot {boot} GET number {record.get}: {what}")
 
     def findings(self) -> list[Finding]:
-        cold = self.one(4)
-        cold.cases = sum(self.cold.values())
-        if cold.cases:
-            cold.untold = cold.cases
-            most = max(self.cold.items(), key=lambda pair: (pair[1], pair[0]))
-            (node, _), count = most
-            fell = sum(self.fell.values())
-            cold.why = (
-                f"what a cold node bears is not recorded; the most that one got was {count} forwards in a "
-                f"second, at {node}, and {fell} forwards to cold ones ended as if it had fallen over"
+        finding = self.finding(4)
+        finding.cases = sum(self.cold_forwards.values())
+        if finding.cases:
+            finding.untold = finding.cases
+            peak = max(self.cold_forwards.items(), key=lambda pair: (pair[1], pair[0]))
+            (node, _), count = peak
+            failures = sum(self.cold_failures.values())
+            finding.why = (
+                f"the capacity of a cold node is not recorded; the peak was {count} forwards in a second, "
+                f"to {node}, and {failures} forwards to cold nodes failed as on an overloaded node"
             )
-        return self.found
+        return self.results
--- a/damsonstream/records/keeper.py
+++ b/damsonstream/records/keeper.py
@@ -1,11 +1,12 @@
-"""Decides when records are written, made durable, put in a new segment, dropped or removed. No I/O.
+"""Write policy: when records are written, synced, moved to a new segment, dropped or removed. No I/O.
 
-How it is called: the writer tells what happened (`wrote`, `synced`, `broke`) and asks `plan(now, waiting)`
-what to do next, and `remove(...)` which segments go. Times are seconds of any clock that only goes forward.
+The writer reports what happened (`on_written`, `on_synced`, `on_disk_error`), asks `plan(now, queued_bytes)`
+what to do next, and asks `segments_to_remove(...)` which segments to delete. Times are seconds on any
+monotonic clock.
 
-What is promised: a record is handed to the system within `WRITE` of being decided and on the disk within
-`WRITE + SYNC` and the time that the disk takes, unless a Dropped record says otherwise. What the system holds
-survives the end of the process; what is on the disk survives that of the machine.
+Guarantee: a record is passed to the operating system within `WRITE_INTERVAL_S` of the event and is on disk
+within `WRITE_INTERVAL_S + SYNC_INTERVAL_S` plus the disk's own latency, unless a Dropped record reports a
+gap. Data passed to the operating system survives a process crash; data on disk survives a machine crash.
 """
 
 from __future__ import annotations
@@ -13,33 +14,38 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# Seconds between writes. A tenth of what a person notices in a console; at 2,000 GETs a second 400 records,
-# one system call for them all.
-WRITE = 0.05
-# Seconds between syncs: with WRITE a third of a second is at risk when the machine dies, and a disk that
-# takes 10 ms is busy for a twenty-fifth of the time.
-SYNC = 0.25
-# A sync may keep the disk busy for a third of the time at most: the next one waits three times as long as the
-# last one took. Guards against a slow disk that others use too.
-SHARE = 3.0
-AGAIN, LONGEST = (
-    0.25,
-    8.0,
-)  # seconds after a disk that fails, doubled each time: a full disk is looked at often
-SEGMENT = 8 << 20  # bytes: read whole in bounded memory, and half a minute's records at 2,000 GETs a second
-ROLL = 300.0  # seconds: a quiet gateway's segments can still be removed by age
-WAITING = 1 << 20  # bytes that wait for the disk, then records are dropped: 5 s at 2,000 GETs a second
+# Interval between writes: a tenth of the delay that a person notices in a console. At 2,000 GETs a second it
+# batches 400 records into one system call.
+WRITE_INTERVAL_S = 0.05
+# Interval between syncs. Together with WRITE_INTERVAL_S, a machine crash loses at most about a third of a
+# second, and a disk that takes 10 ms per sync is busy for 1/25 of the time.
+SYNC_INTERVAL_S = 0.25
+# The next sync waits at least this many times the duration of the last one, so that syncs do not monopolize
+# a slow disk that is shared with other processes.
+SYNC_PAUSE_FACTOR = 3.0
+# Delay after a disk error, doubled with each further one; the maximum makes sure that a full disk is retried
+# often.
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.25, 8.0
+MAX_SEGMENT_BYTES = (
+    8 << 20
+)  # small enough to read whole into memory; half a minute of records at 2,000 GETs a second
+MAX_SEGMENT_AGE_S = (
+    300.0  # starts a new segment even on an idle gateway, so that old ones can be removed by age
+)
+MAX_QUEUED_BYTES = 1 << 20  # records are dropped when the queue is longer; 5 s at 2,000 GETs a second
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    bytes: int = 256 << 20  # of all segments of one gateway
-    age: float = 7 * 86400.0  # seconds
+    """Retention limits of one gateway's stored records."""
+
+    bytes: int = 256 << 20  # total size of all segments
+    age: float = 7 * 86400.0  # seconds since a segment's last write
 
 
 @dataclass(slots=True, frozen=True)
-class Kept:
-    """A segment that lies on the disk."""
+class StoredSegment:
+    """A segment file on disk."""
 
     boot: int
     segment: int
@@ -49,78 +55,85 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """What the writer does now, in this order, and how long it waits then at most."""
+    """What the writer does now, in field order, and the longest wait before it asks again."""
 
-    fresh: bool = False  # begin a new segment
+    new_segment: bool = False
     write: bool = False
     sync: bool = False
-    wait: float = WRITE
+    wait_s: float = WRITE_INTERVAL_S
 
 
-class Keeper:
-    """One gateway's store, from the opening of its first segment on."""
+class WritePolicy:
+    """Decides on writes, syncs, rotation and retention for the records of one gateway."""
 
     def __init__(self, limits: Limits, now: float) -> None:
         self.limits = limits
-        self.size, self.began = 0, now  # of the segment that is written
-        self.open = False
+        self.segment_bytes, self.segment_started_at = 0, now  # of the current segment
+        self.segment_open = False
         self.unsynced = False
-        self.sync_at = now + SYNC
-        self.retry_at, self.tries = now, 0  # while the disk fails
-        self.reason = ""  # why records are dropped, empty: they are not
+        self.next_sync_at = now + SYNC_INTERVAL_S
+        self.retry_at, self.failed_attempts = now, 0  # used while disk operations fail
+        self.drop_reason = ""  # reason code of the current disk error, empty if there is none
 
-    def plan(self, now: float, waiting: int, closing: bool = False) -> Plan:
-        """`waiting`: bytes that are not written yet."""
+    def plan(self, now: float, queued_bytes: int, closing: bool = False) -> Plan:
+        """Returns what to do now; `queued_bytes` have been accepted but not yet written."""
         if now < self.retry_at and not closing:
-            return Plan(wait=min(self.retry_at - now, LONGEST))
-        fresh = not self.open or (self.size > 0 and (self.size + waiting > self.limits_segment()
-                                                     or now - self.began >= ROLL))  # fmt: skip
-        write = waiting > 0
-        sync = (self.unsynced or write) and (closing or now >= self.sync_at)
-        return Plan(fresh and (write or not self.open), write, sync, WRITE)
-
-    def limits_segment(self) -> int:
-        """Bytes of a segment: an eighth of the store at most, so that removing one keeps most of it."""
-        return max(4096, min(SEGMENT, self.limits.bytes // 8))
-
-    def began_segment(self, now: float) -> None:
-        self.open, self.size, self.began = True, 0, now
-
-    def wrote(self, now: float, count: int) -> None:
-        self.size += count
-        self.unsynced, self.tries, self.reason = True, 0, ""
-
-    def synced(self, now: float, took: float) -> None:
+            return Plan(wait_s=min(self.retry_at - now, MAX_RETRY_DELAY_S))
+        new_segment = not self.segment_open or (
+            self.segment_bytes > 0 and (self.segment_bytes + queued_bytes > self.max_segment_bytes()
+                                        or now - self.segment_started_at >= MAX_SEGMENT_AGE_S))  # fmt: skip
+        write = queued_bytes > 0
+        sync = (self.unsynced or write) and (closing or now >= self.next_sync_at)
+        return Plan(new_segment and (write or not self.segment_open), write, sync, WRITE_INTERVAL_S)
+
+    def max_segment_bytes(self) -> int:
+        """Returns the maximum segment size: at most 1/8 of the store, so that a removal keeps most of it."""
+        return max(4096, min(MAX_SEGMENT_BYTES, self.limits.bytes // 8))
+
+    def on_segment_started(self, now: float) -> None:
+        self.segment_open, self.segment_bytes, self.segment_started_at = True, 0, now
+
+    def on_written(self, now: float, byte_count: int) -> None:
+        self.segment_bytes += byte_count
+        self.unsynced, self.failed_attempts, self.drop_reason = True, 0, ""
+
+    def on_synced(self, now: float, duration_s: float) -> None:
         self.unsynced = False
-        self.sync_at = now + max(SYNC, SHARE * took)
-
-    def broke(self, now: float, reason: str) -> None:
-        """The disk failed: what was written last may be torn, so that the next segment is a new one."""
-        self.open, self.reason = False, reason
-        self.retry_at = now + min(LONGEST, AGAIN * 2 ** min(self.tries, 10))
-        self.tries += 1
-
-    def accepts(self, waiting: int) -> bool:
-        """Whether one more record may wait; told before it is encoded."""
-        return waiting < WAITING
-
-    def remove(self, kept: Sequence[Kept], writing: tuple[int, int], full: bool = False) -> list[Kept]:
-        """Segments to remove, the oldest first, never the one that is written. A full disk takes one more, as
-        long as the store holds half of what it may: elsewhere something else fills the disk, and an operator
-        who looks for the cause still needs what there is."""
-        order = sorted((k for k in kept if (k.boot, k.segment) != writing), key=lambda k: (k.boot, k.segment))
-        total, gone = sum(k.size for k in kept), list[Kept]()
-        for one in order:
-            if total <= self.limits.bytes and one.age <= self.limits.age:
+        self.next_sync_at = now + max(SYNC_INTERVAL_S, SYNC_PAUSE_FACTOR * duration_s)
+
+    def on_disk_error(self, now: float, reason: str) -> None:
+        """Handles a disk error: the last write may be incomplete, so writing resumes in a new segment."""
+        self.segment_open, self.drop_reason = False, reason
+        self.retry_at = now + min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * 2 ** min(self.failed_attempts, 10))
+        self.failed_attempts += 1
+
+    def accepts(self, queued_bytes: int) -> bool:
+        """Whether the queue has room for another record."""
+        return queued_bytes < MAX_QUEUED_BYTES
+
+    def segments_to_remove(
+        self, stored: Sequence[StoredSegment], current: tuple[int, int], disk_full: bool = False
+    ) -> list[StoredSegment]:
+        """Returns the segments to remove, oldest first, never the current one.
+
+        On a full disk, one segment is removed even within the limits, but only while the store uses more than
+        half of its size limit. Below that, something else fills the disk, and an operator who looks for the
+        cause needs the remaining records.
+        """
+        oldest_first = sorted(
+            (k for k in stored if (k.boot, k.segment) != current), key=lambda k: (k.boot, k.segment)
+        )
+        total_bytes, removed = sum(k.size for k in stored), list[StoredSegment]()
+        for candidate in oldest_first:
+            if total_bytes <= self.limits.bytes and candidate.age <= self.limits.age:
                 break
-            total -= one.size
-            gone.append(one)
-        if full and not gone and order and total > self.limits.bytes // 2:
-            gone.append(order[0])
-        return gone
+            total_bytes -= candidate.size
+            removed.append(candidate)
+        if disk_full and not removed and oldest_first and total_bytes > self.limits.bytes // 2:
+            removed.append(oldest_first[0])
+        return removed
 
 
 def next_boot(boots: Sequence[int]) -> int:
-    """A gateway's boots are numbered from 1; a number is never used twice while any segment of it is
-    there."""
+    """Returns the next boot number, counted from 1; a number is not reused while a segment of it exists."""
     return max(boots, default=0) + 1
--- a/damsonstream/records/recorder.py
+++ b/damsonstream/records/recorder.py
@@ -1,8 +1,8 @@
-"""Turns what a gateway decides and sees into records.
+"""Turns the decisions and observations of a gateway into records.
 
-How it is called: `Recorder(writer, clock)` is the gateway's observer (`routing/gateway.py` has the
-interface); the program also tells it of the bulletin's news, of reloads, of GETs that never reach the router,
-and of each second. A fault in here ends the recording, never a GET.
+`Recorder(writer, adjust_clock)` implements the gateway's observer interface (`routing/gateway.py`). The
+program also reports bulletin events, reloads, GETs that never reach the router, and a heartbeat every second.
+An exception in here ends the recording and never affects a GET.
 """
 
 from __future__ import annotations
@@ -19,51 +19,55 @@
 from damsonstream.routing import interface as i
 
 log = logging.getLogger(__name__)
-NS = 100_000  # nanoseconds in a tenth of a millisecond
-TENTHS = 10  # of a millisecond
-LINES = 256  # caches in one record: 20 KB, under what a frame holds
+NS = 100_000  # a tick is a tenth of a millisecond
+TICKS_PER_MS = 10
+MAX_LINES_PER_RECORD = 256  # caches in one record: about 20 KB, below the payload limit of a frame
 
 
 class Recorder:
-    def __init__(self, writer: Writer, shift: Callable[[int], int] | None = None) -> None:
-        """`shift` moves the times that are written, for trials of clocks that are wrong."""
-        self.writer, self.shift = writer, shift
-        self.off = False
+    """Writes one record for each call; most methods are named after the kind that they write."""
+
+    def __init__(self, writer: Writer, adjust_clock: Callable[[int], int] | None = None) -> None:
+        """`adjust_clock` changes the recorded times, to test the analysis with wrong clocks."""
+        self.writer, self.adjust_clock = writer, adjust_clock
+        self.disabled = False
 
     def write(self, record: model.AnyRecord) -> None:
-        if self.off:
+        if self.disabled:
             return
         try:
             self.writer.put(record.at, model.encode(record))
         except Exception:
-            self.off = True
+            self.disabled = True
             log.exception("records")
 
-    def at(self, now: int) -> int:
-        return now if self.shift is None else self.shift(now)
+    def record_time(self, now: int) -> int:
+        return now if self.adjust_clock is None else self.adjust_clock(now)
 
-    # what the gateway tells
+    # calls from the gateway (the observer interface)
 
     def opened(
-        self, now: int, number: int, ident: bytes, service: int, thing: str, group: int, left: int,
+        self, now: int, number: int, ident: bytes, service: int, thing: str, group: int, remaining: int,
         repeated: bool,
     ) -> None:  # fmt: skip
-        told = ident.decode("latin-1")
-        self.write(model.Taken(self.at(now), number, told, service, thing, group, left, repeated))
+        ident_text = ident.decode("latin-1")
+        self.write(
+            model.Taken(self.record_time(now), number, ident_text, service, thing, group, remaining, repeated)
+        )
 
     def sent(self, now: int, number: int, leg: int, forward: i.Forward) -> None:
-        self.write(model.Sent(self.at(now), number, leg, forward.cache, forward.source, forward.age,
+        self.write(model.Sent(self.record_time(now), number, leg, forward.cache, forward.source, forward.age,
                               forward.copies))  # fmt: skip
 
     def came(self, now: int, event: i.ForwardEnded, stamp: int) -> None:
-        self.write(model.Came(self.at(now), event.get, event.leg, event.cache, event.result, event.note,
-                              event.took, event.first_byte, event.shared, stamp))  # fmt: skip
+        self.write(model.Came(self.record_time(now), event.get, event.leg, event.cache, event.result,
+                              event.note, event.took, event.first_byte, event.shared, stamp))  # fmt: skip
 
     def final(self, now: int, number: int, outcome: str, come_back: int, size: int, leg: int) -> None:
-        self.write(model.Answered(self.at(now), number, outcome, come_back, size, leg))
+        self.write(model.Answered(self.record_time(now), number, outcome, come_back, size, leg))
 
     def left(self, now: int, number: int) -> None:
-        self.write(model.Left(self.at(now), number))
+        self.write(model.Left(self.record_time(now), number))
 
     def decided(self, now: int, actions: list[i.Action]) -> None:
         for action in actions:
@@ -71,9 +75,9 @@
                 role, _, rest = action.text.partition(" ")
                 node, _, state = rest.rpartition(" ")
                 run, count, failures = action.judged
-                self.write(model.Breaker(self.at(now), role, node, state, run, count, failures))
+                self.write(model.Breaker(self.record_time(now), role, node, state, run, count, failures))
 
-    # what the program tells
+    # calls from the program
 
     def began(
         self, now: int, name: str, version: str, footprint: i.Footprint, drain_grace: int, purge_grace: int
@@ -83,61 +87,65 @@
                           s.scope, s.remembered)
             for s in footprint.services
         ]  # fmt: skip
-        self.write(model.Began(self.at(now), self.writer.boot, name, version, self.at(time.time_ns() // NS),
-                               footprint.location, services, footprint.parent_model,
-                               footprint.origin_model, drain_grace, purge_grace,
+        self.write(model.Began(self.record_time(now), self.writer.boot, name, version,
+                               self.record_time(time.time_ns() // NS), footprint.location, services,
+                               footprint.parent_model, footprint.origin_model, drain_grace, purge_grace,
                                footprint.client_kb_per_s))  # fmt: skip
 
     def stopped(self, now: int, reason: str) -> None:
-        self.write(model.Stopped(self.at(now), reason))
+        self.write(model.Stopped(self.record_time(now), reason))
 
     def turned(self, now: int, ident: bytes, outcome: str, reason: str) -> None:
-        self.write(model.Turned(self.at(now), ident[:32].decode("latin-1"), outcome, reason))
+        self.write(model.Turned(self.record_time(now), ident[:32].decode("latin-1"), outcome, reason))
 
     def news(self, now: int, number: int, event: bulletin.Event) -> None:
-        at = self.at(now)
+        at = self.record_time(now)
         if isinstance(event, bulletin.PurgeTold):
-            self.write(model.Purge(at, number, event.thing, event.group, event.issued_ms * TENTHS))
+            self.write(model.Purge(at, number, event.thing, event.group, event.issued_ms * TICKS_PER_MS))
             return
         lines = [
-            model.Line(e.cache, e.location, e.state, e.units, e.model, e.started_ms * TENTHS)
+            model.Line(e.cache, e.location, e.state, e.units, e.model, e.started_ms * TICKS_PER_MS)
             for e in event.entries
         ]
-        for place in range(0, max(1, len(lines)), LINES):
-            more = place + LINES < len(lines)
-            self.write(model.Listed(at, number, event.whole, more, lines[place : place + LINES]))
+        for start in range(0, max(1, len(lines)), MAX_LINES_PER_RECORD):
+            more = start + MAX_LINES_PER_RECORD < len(lines)
+            self.write(
+                model.Listed(at, number, event.whole, more, lines[start : start + MAX_LINES_PER_RECORD])
+            )
 
     def reloaded(self, now: int, outcome: str, what: str) -> None:
-        self.write(model.Reloaded(self.at(now), outcome, what))
+        self.write(model.Reloaded(self.record_time(now), outcome, what))
 
     def pulse(self, now: int, open_gets: int) -> None:
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        cpu = int((used.ru_utime + used.ru_stime) * 1000)
-        unix = self.at(time.time_ns() // NS)
-        self.write(model.Pulse(self.at(now), unix, open_gets, cpu, used.ru_maxrss))
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        cpu = int((usage.ru_utime + usage.ru_stime) * 1000)
+        unix = self.record_time(time.time_ns() // NS)
+        self.write(model.Pulse(self.record_time(now), unix, open_gets, cpu, usage.ru_maxrss))
 
     def peers(
         self, now: int, standing: str, silent: list[int], near: int, far: int, lent: int, borrowed: int,
         sent: int, heard: int,
     ) -> None:  # fmt: skip
-        self.write(model.Peers(self.at(now), standing, silent, near, far, lent, borrowed, sent, heard))
+        self.write(
+            model.Peers(self.record_time(now), standing, silent, near, far, lent, borrowed, sent, heard)
+        )
 
     def zones(
         self, now: int, revision: int, zones: list[tuple[str, str, int, int]],
         spilt: list[tuple[str, str, int, float]], held_back: int,
     ) -> None:  # fmt: skip
-        self.write(model.Zones(self.at(now), revision, zones, spilt, held_back))
+        self.write(model.Zones(self.record_time(now), revision, zones, spilt, held_back))
 
     def told(self, now: int, node: str, what: str) -> None:
-        self.write(model.Told(self.at(now), node, what))
+        self.write(model.Told(self.record_time(now), node, what))
 
     def turn(self, now: int, node: str, state: str) -> None:
-        self.write(model.Turn(self.at(now), node, state))
+        self.write(model.Turn(self.record_time(now), node, state))
 
     def counts(self) -> dict[str, Any]:
-        return {"records.written": self.writer.written, "records.dropped": self.writer.lost}
+        return {"records.written": self.writer.written_total, "records.dropped": self.writer.dropped_total}
 
 
 def moved(seconds: float, drift: float, start: int) -> Callable[[int], int]:
-    """A clock that is off by `seconds` and gains `drift` seconds a second, from `start` on."""
+    """Returns a clock function with an offset of `seconds` that drifts by `drift` seconds per second."""
     return lambda now: now + int(seconds * 10_000 + drift * (now - start))
--- a/damsonstream/records/segment.py
+++ b/damsonstream/records/segment.py
@@ -1,13 +1,12 @@
-"""The bytes of a segment: a head, then frames that each hold one record. No files, no clock.
+"""Binary format of a segment: a header, then frames that hold one record each. No files, no clock.
 
-How it is called: `head(...)` and `frame(seq, payload)` give bytes; `scan(data)` goes through the bytes of a
-segment and yields each whole frame and each place where bytes can't be used, in order, so that one bad byte
-costs the record it is in and no other.
+`encode_header(...)` and `encode_frame(seq, payload)` return bytes. `scan(data, offset)` yields the intact
+frames and the damaged byte ranges of a segment in order, so that a bad byte loses only the record it is in.
 
-    head  = "DMSN" version:2 name's length:2 boot:4 segment:4 first:8 created:8 name crc:4
-    frame = marker:2 length:2 seq:8 payload crc:4      little-endian, crc over all before it
+    header = "DMSN" version:2 name_length:2 boot:4 segment:4 first_seq:8 created_ms:8 name crc:4
+    frame  = marker:2 length:2 seq:8 payload crc:4     little-endian; crc covers everything before it
 
-`seq` numbers the records of one boot from 0, also those that were dropped, so that a reader can say how many
+`seq` numbers the records of one boot from 0 and includes dropped records, so that a reader can tell how many
 are missing.
 """
 
@@ -21,92 +20,103 @@
 import msgspec
 
 MAGIC, VERSION = b"DMSN", 1
-HEAD = Struct("<4sHHIIQQ")
-FRAME = Struct("<HHQ")
-CRC = Struct("<I")
-MARK = 0xA7D5  # neither of its bytes is ASCII: text in payloads does not look like a frame
-MARKED = MARK.to_bytes(2, "little")
-MOST = 0xFFFF  # bytes of one payload: a list of caches is written in pieces
+HEADER = Struct("<4sHHIIQQ")
+FRAME_HEADER = Struct("<HHQ")
+CHECKSUM = Struct("<I")
+FRAME_MARKER = 0xA7D5  # no byte of it is ASCII, so text in a payload is not mistaken for a frame
+FRAME_MARKER_BYTES = FRAME_MARKER.to_bytes(2, "little")
+MAX_PAYLOAD_BYTES = (
+    0xFFFF  # the length field has two bytes; a longer list of caches is split over several records
+)
 
 
-class NoSegment(Exception):
-    """The bytes do not begin as a segment does; the text is the reason code."""
+class InvalidSegment(Exception):
+    """The bytes do not start with a valid segment header; the message is the reason code."""
 
 
 @dataclass(slots=True, frozen=True)
-class Head:
+class SegmentHeader:
+    """Decoded header of a segment."""
+
     name: str
     boot: int
     segment: int
-    first: int  # seq of the first record that may follow
-    created: int  # Unix millisecond
-    size: int  # bytes of the head
+    first_seq: int  # lowest seq that a record in this segment can have
+    created_ms: int  # Unix time
+    size: int  # length of the header in bytes
     version: int = VERSION
 
 
-class Whole(
-    msgspec.Struct, frozen=True, gc=False
-):  # one a record: made five times as fast as a frozen dataclass
+class Whole(msgspec.Struct, frozen=True, gc=False):
+    """An intact frame. There is one per record, and msgspec creates it five times as fast as a dataclass."""
+
     seq: int
     payload: memoryview
-    after: int  # where the next frame begins
+    after: int  # offset just behind this frame
 
 
 @dataclass(slots=True, frozen=True)
-class Damage:
-    """Bytes from `at` on, `size` of them, that hold no whole frame."""
+class DamagedBytes:
+    """A range of `size` bytes from `offset` that holds no intact frame."""
 
-    at: int
+    offset: int
     size: int
-    reason: str  # torn: they are the last ones; flipped: whole frames follow
+    reason: str  # torn: no intact frame follows; flipped: intact frames follow
 
 
-def head(name: str, boot: int, segment: int, first: int, created: int) -> bytes:
+def encode_header(name: str, boot: int, segment: int, first_seq: int, created_ms: int) -> bytes:
     text = name.encode()
-    data = HEAD.pack(MAGIC, VERSION, len(text), boot, segment, first, created) + text
-    return data + CRC.pack(crc32(data))
+    data = HEADER.pack(MAGIC, VERSION, len(text), boot, segment, first_seq, created_ms) + text
+    return data + CHECKSUM.pack(crc32(data))
 
 
-def frame(seq: int, payload: bytes) -> bytes:
-    data = FRAME.pack(MARK, len(payload), seq) + payload
-    return data + CRC.pack(crc32(data))
+def encode_frame(seq: int, payload: bytes) -> bytes:
+    framed = FRAME_HEADER.pack(FRAME_MARKER, len(payload), seq) + payload
+    return framed + CHECKSUM.pack(crc32(framed))
 
 
-def read_head(data: bytes | memoryview) -> Head:
-    if len(data) < HEAD.size:
-        raise NoSegment("torn-head")
-    magic, version, length, boot, segment, first, created = HEAD.unpack_from(data)
+def read_head(data: bytes | memoryview) -> SegmentHeader:
+    if len(data) < HEADER.size:
+        raise InvalidSegment("torn-head")
+    magic, version, length, boot, segment, first_seq, created_ms = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise NoSegment("no-segment")
-    end = HEAD.size + length
-    if len(data) < end + CRC.size:
-        raise NoSegment("torn-head")
-    if CRC.unpack_from(data, end)[0] != crc32(data[:end]):
-        raise NoSegment("flipped-head")
-    name = bytes(data[HEAD.size : end]).decode(errors="replace")
-    return Head(name, boot, segment, first, created, end + CRC.size, version)
-
-
-def scan(data: bytes, at: int) -> Iterator[Whole | Damage]:
-    """Frames from `at` on. Bytes are taken for a frame only if the checksum says so; where it does not, the
-    next marker with a good checksum goes on."""
+        raise InvalidSegment("no-segment")
+    end = HEADER.size + length
+    if len(data) < end + CHECKSUM.size:
+        raise InvalidSegment("torn-head")
+    if CHECKSUM.unpack_from(data, end)[0] != crc32(data[:end]):
+        raise InvalidSegment("flipped-head")
+    name = bytes(data[HEADER.size : end]).decode(errors="replace")
+    return SegmentHeader(name, boot, segment, first_seq, created_ms, end + CHECKSUM.size, version)
+
+
+def scan(data: bytes, offset: int) -> Iterator[Whole | DamagedBytes]:
+    """Yields the frames from `offset` on.
+
+    Bytes count as a frame only if their checksum matches; otherwise the scan continues at the next marker
+    with a matching checksum.
+    """
     view, end = memoryview(data), len(data)
-    bad = -1  # where the bytes that can't be used begin
-    while at < end:
-        if end - at >= FRAME.size:
-            mark, size, seq = FRAME.unpack_from(data, at)
-            close = at + FRAME.size + size
-            after = close + CRC.size
-            if mark == MARK and after <= end and crc32(view[at:close]) == CRC.unpack_from(data, close)[0]:
-                if bad >= 0:
-                    yield Damage(bad, at - bad, "flipped")
-                    bad = -1
-                yield Whole(seq, view[at + FRAME.size : close], after)
-                at = after
+    damage_start = -1  # offset of the first unusable byte, -1 if there is none
+    while offset < end:
+        if end - offset >= FRAME_HEADER.size:
+            marker, size, seq = FRAME_HEADER.unpack_from(data, offset)
+            payload_end = offset + FRAME_HEADER.size + size
+            after = payload_end + CHECKSUM.size
+            if (
+                marker == FRAME_MARKER
+                and after <= end
+                and crc32(view[offset:payload_end]) == CHECKSUM.unpack_from(data, payload_end)[0]
+            ):
+                if damage_start >= 0:
+                    yield DamagedBytes(damage_start, offset - damage_start, "flipped")
+                    damage_start = -1
+                yield Whole(seq, view[offset + FRAME_HEADER.size : payload_end], after)
+                offset = after
                 continue
-        bad = at if bad < 0 else bad
-        at = data.find(MARKED, at + 1)
-        if at < 0:
+        damage_start = offset if damage_start < 0 else damage_start
+        offset = data.find(FRAME_MARKER_BYTES, offset + 1)
+        if offset < 0:
             break
-    if bad >= 0:
-        yield Damage(bad, end - bad, "torn")
+    if damage_start >= 0:
+        yield DamagedBytes(damage_start, end - damage_start, "torn")
--- a/damsonstream/records/store.py
+++ b/damsonstream/records/store.py
@@ -1,11 +1,11 @@
-"""Reads the records of gateways from a folder of segments, as they are, also while they are written.
+"""Reads the records of gateways from folders of segment files, also while they are being written.
 
-How it is called: `gateways(folder)` names them, `Reader(folder, name)` goes through one gateway's records in
-order with `read()`, a segment at a time; whatever can't be used is yielded as a `Problem` in its place.
-`Follower(folder, name).poll()` gives what is new since the last call.
+`gateway_folders(folder)` finds the gateways. `Reader(folder).read()` yields one gateway's records in order,
+one segment at a time, with a `Problem` in place of anything unusable. `Follower(folder).poll()` returns what
+is new since the previous call.
 
-What a reader can rely on: within a boot records come in the order in which they were written; between them,
-every record that is missing is told by a problem (or by a Dropped record of the gateway's own).
+Guarantee: the records of a boot come in the order in which they were written, and every missing record is
+covered by a `Problem` or by a Dropped record that the gateway wrote itself.
 """
 
 from __future__ import annotations
@@ -17,58 +17,65 @@
 import msgspec
 
 from damsonstream.records import model, segment
-from damsonstream.records.keeper import SEGMENT
-from damsonstream.records.writer import numbers
+from damsonstream.records.keeper import MAX_SEGMENT_BYTES
+from damsonstream.records.writer import parse_file_name
 
-MOST = 4 * SEGMENT  # bytes of a file that is read: segments are smaller, a larger file is no segment
+MAX_FILE_BYTES = 4 * MAX_SEGMENT_BYTES  # segments are smaller: a larger file is not a segment and is not read
 
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """Something missing or unusable, where it was found."""
+    """Missing or unusable data, and where it was found."""
 
-    # lost, doubled, torn, flipped, missing, removed, unreadable, unknown, no-segment or newer
+    # lost: records are missing; doubled: a record is repeated; torn or flipped: damaged bytes at the end or
+    # before intact frames; missing or removed: segments are missing in the middle or at the start; unreadable
+    # or unknown: a record is corrupt or of a newer kind; no-segment: the header is invalid; newer: the
+    # segment has a newer format version
     kind: str
     boot: int
     segment: int
-    at: int  # byte in the segment
-    count: int  # records that are missing for it, -1: not known
+    offset: int  # in bytes, within the segment
+    count: int  # number of records, -1: not known
     detail: str = ""
 
 
 class Item(msgspec.Struct, frozen=True, gc=False):
+    """A record with its boot and sequence number."""
+
     boot: int
     seq: int
     record: model.AnyRecord
 
 
 @dataclass(slots=True, frozen=True)
-class File:
+class SegmentFile:
+    """A segment file of one gateway."""
+
     path: Path
     boot: int
     segment: int
     size: int
 
 
-def files(folder: Path) -> list[File]:
-    """Segments of one gateway, in order."""
-    found = []
+def files(folder: Path) -> list[SegmentFile]:
+    """Returns the segment files of one gateway, ordered by boot and segment number."""
+    segments = []
     try:
         paths = list(folder.iterdir())
     except (FileNotFoundError, NotADirectoryError):
         return []
     for path in paths:
-        if told := numbers(path):
+        if parsed := parse_file_name(path):
             try:
-                found.append(File(path, *told, path.stat().st_size))
+                segments.append(SegmentFile(path, *parsed, path.stat().st_size))
             except FileNotFoundError:
-                continue  # removed by age meanwhile
-    return sorted(found, key=lambda file: (file.boot, file.segment))
+                continue  # removed by the writer in the meantime
+    return sorted(segments, key=lambda file: (file.boot, file.segment))
 
 
 def gateways(folder: Path) -> dict[str, Path]:
-    """Names of gateways, as their segments tell them, and their folders."""
-    found = {}
+    """Returns the folder of each gateway by its name, which is read from the segment headers."""
+    folders = {}
     for path in sorted(path for path in folder.iterdir() if path.is_dir()):
         name = ""
         for file in files(path):
@@ -76,152 +83,160 @@
                 with file.path.open("rb") as stream:
                     name = segment.read_head(stream.read(1 << 17)).name
                 break
-            except (segment.NoSegment, OSError):
+            except (segment.InvalidSegment, OSError):
                 continue
         if name or files(path):
-            found[name or path.name] = path
-    return found
+            folders[name or path.name] = path
+    return folders
 
 
-class Sequence:
-    """What is missing between records, by their numbers: pure, one boot after the other."""
+class SequenceChecker:
+    """Detects missing and repeated records from their sequence numbers, one boot after the other."""
 
     def __init__(self) -> None:
-        self.boot = self.next = 0
+        self.boot = self.next_seq = 0
 
-    def begin(self, boot: int, number: int, first: int) -> None:
+    def start_segment(self, boot: int, number: int, first_seq: int) -> None:
         if boot != self.boot:
-            self.boot, self.next = boot, first if number != 1 else 0
+            self.boot, self.next_seq = boot, first_seq if number != 1 else 0
 
-    def came(self, seq: int, record: model.AnyRecord | None) -> int:
-        """Records missing before this one that nothing explains; -1: it is there twice."""
-        missing = seq - self.next
+    def count_missing(self, seq: int, record: model.AnyRecord | None) -> int:
+        """Returns the number of unexplained missing records before this one, -1 if it is a repeat."""
+        missing = seq - self.next_seq
         if missing < 0:
             return -1
-        self.next = seq + 1
+        self.next_seq = seq + 1
         if isinstance(record, model.Dropped):
             return max(0, missing - record.count)
         return max(0, missing)
 
 
 class Reader:
-    """All records of one gateway; memory is bounded by one segment."""
+    """Reads all records of one gateway; holds one segment in memory at a time."""
 
-    def __init__(self, folder: Path, most: int = MOST) -> None:
-        self.folder, self.most = folder, most
+    def __init__(self, folder: Path, max_file_bytes: int = MAX_FILE_BYTES) -> None:
+        self.folder, self.max_file_bytes = folder, max_file_bytes
         self.bytes = 0  # read so far
 
-    def read(self, wanted: frozenset[int] = frozenset()) -> Iterator[Item | Problem]:
-        """`wanted`: the kinds that are decoded, by `tags()`; empty: all."""
-        listed, numbers_seen = files(self.folder), Sequence()
-        last: File | None = None
-        for file in listed:
-            if last and file.boot == last.boot and file.segment != last.segment + 1:
-                gone = file.segment - last.segment - 1
-                yield Problem("missing", file.boot, last.segment + 1, 0, -1, f"{gone} segments")
-            elif file.segment != 1 and (last is None or file.boot != last.boot):
+    def read(self, kinds: frozenset[int] = frozenset()) -> Iterator[Item | Problem]:
+        """Yields records and problems in order; `kinds` (from `kind_tags`) limits what is decoded."""
+        segments, sequence = files(self.folder), SequenceChecker()
+        previous: SegmentFile | None = None
+        for file in segments:
+            if previous and file.boot == previous.boot and file.segment != previous.segment + 1:
+                missing_segments = file.segment - previous.segment - 1
+                yield Problem(
+                    "missing", file.boot, previous.segment + 1, 0, -1, f"{missing_segments} segments"
+                )
+            elif file.segment != 1 and (previous is None or file.boot != previous.boot):
                 yield Problem("removed", file.boot, 1, 0, -1, f"{file.segment - 1} segments, by age or size")
-            last = file
-            yield from self.one(file, numbers_seen, file is listed[-1], wanted)
+            previous = file
+            yield from self.read_file(file, sequence, file is segments[-1], kinds)
 
-    def one(
-        self, file: File, seen: Sequence, newest: bool, wanted: frozenset[int]
+    def read_file(
+        self, file: SegmentFile, sequence: SequenceChecker, newest: bool, kinds: frozenset[int]
     ) -> Iterator[Item | Problem]:
         place = (file.boot, file.segment)
         try:
             with file.path.open("rb") as stream:
-                data = stream.read(self.most + 1)
-        except OSError as fault:
-            yield Problem("missing", *place, 0, -1, fault.strerror or "")
+                data = stream.read(self.max_file_bytes + 1)
+        except OSError as error:
+            yield Problem("missing", *place, 0, -1, error.strerror or "")
             return
         self.bytes += len(data)
-        if len(data) > self.most:
-            yield Problem("no-segment", *place, 0, -1, f"over {self.most} bytes")
+        if len(data) > self.max_file_bytes:
+            yield Problem("no-segment", *place, 0, -1, f"over {self.max_file_bytes} bytes")
             return
         try:
-            head = segment.read_head(data)
-        except segment.NoSegment as fault:
-            if newest and str(fault) == "torn-head":
-                return  # just begun, or cut off with nothing in it
-            yield Problem("no-segment", *place, 0, -1, str(fault))
-            # frames tell their own numbers: what is whole behind a spoilt head is still used
-            yield from items(data, 0, place, seen, newest, wanted)
+            header = segment.read_head(data)
+        except segment.InvalidSegment as error:
+            if newest and str(error) == "torn-head":
+                return  # just created, or cut off before the first record
+            yield Problem("no-segment", *place, 0, -1, str(error))
+            # frames carry their own sequence numbers, so intact frames behind a damaged header are still used
+            yield from decode_entries(data, 0, place, sequence, newest, kinds)
             return
-        if head.version > segment.VERSION:
-            yield Problem("newer", *place, 0, -1, f"version {head.version}")
-        seen.begin(file.boot, file.segment, head.first)
-        yield from items(data, head.size, place, seen, newest, wanted)
+        if header.version > segment.VERSION:
+            yield Problem("newer", *place, 0, -1, f"version {header.version}")
+        sequence.start_segment(file.boot, file.segment, header.first_seq)
+        yield from decode_entries(data, header.size, place, sequence, newest, kinds)
 
 
-def tags(*kinds: type) -> frozenset[int]:
+def kind_tags(*kinds: type) -> frozenset[int]:
+    """Returns the tags of record kinds, as `Reader.read` takes them."""
     return frozenset(kind.__struct_config__.tag for kind in kinds)  # type: ignore[attr-defined]
 
 
-def items(
+def decode_entries(
     data: bytes,
-    at: int,
+    start: int,
     place: tuple[int, int],
-    seen: Sequence,
+    sequence: SequenceChecker,
     newest: bool,
-    wanted: frozenset[int] = frozenset(),
+    kinds: frozenset[int] = frozenset(),
 ) -> Iterator[Item | Problem]:
-    """Records and problems in the bytes of a segment."""
+    """Yields the records and problems in the bytes of a segment from `start` on.
+
+    `newest`: whether this is the gateway's last segment, which may still be written.
+    `kinds`: tags of the kinds to decode, empty for all.
+    """
     boot = place[0]
-    if boot != seen.boot:
-        seen.begin(boot, place[1], 0)
-    for part in segment.scan(data, at):
-        if isinstance(part, segment.Damage):
+    if boot != sequence.boot:
+        sequence.start_segment(boot, place[1], 0)
+    for part in segment.scan(data, start):
+        if isinstance(part, segment.DamagedBytes):
             if part.reason == "flipped" or not newest:
-                yield Problem(part.reason, *place, part.at, -1, f"{part.size} bytes")
+                yield Problem(part.reason, *place, part.offset, -1, f"{part.size} bytes")
             elif part.size:
-                yield Problem("torn", *place, part.at, -1, f"{part.size} bytes")
+                yield Problem("torn", *place, part.offset, -1, f"{part.size} bytes")
             continue
-        # a record is an array of under sixteen fields, the first of which is its kind, under 128
-        if wanted and len(part.payload) > 1 and part.payload[1] not in wanted:
-            if missing := seen.came(part.seq, None):
-                yield absent(missing, place, part.after)
+        # A record is a msgpack array of under 16 fields, and its first field is its tag, under 128. So the
+        # tag is the second byte, and other kinds can be skipped without decoding them.
+        if kinds and len(part.payload) > 1 and part.payload[1] not in kinds:
+            if missing := sequence.count_missing(part.seq, None):
+                yield sequence_problem(missing, place, part.after)
             continue
         try:
             record = model.decode(part.payload)
-        except (model.Unknown, model.Unreadable) as fault:
-            seen.next = part.seq + 1
-            kind = "unknown" if isinstance(fault, model.Unknown) else "unreadable"
-            yield Problem(kind, *place, part.after, 1, str(fault)[:200])
+        except (model.Unknown, model.Unreadable) as error:
+            sequence.next_seq = part.seq + 1
+            kind = "unknown" if isinstance(error, model.Unknown) else "unreadable"
+            yield Problem(kind, *place, part.after, 1, str(error)[:200])
             continue
-        if missing := seen.came(part.seq, record):
-            yield absent(missing, place, part.after)
+        if missing := sequence.count_missing(part.seq, record):
+            yield sequence_problem(missing, place, part.after)
             if missing < 0:
                 continue
         yield Item(boot, part.seq, record)
 
 
-def absent(missing: int, place: tuple[int, int], at: int) -> Problem:
-    return Problem("lost" if missing > 0 else "doubled", *place, at, missing if missing > 0 else 0)
+def sequence_problem(missing: int, place: tuple[int, int], offset: int) -> Problem:
+    return Problem("lost" if missing > 0 else "doubled", *place, offset, missing if missing > 0 else 0)
 
 
 class Follower:
-    """What is new in one gateway's segments, each time it is asked; a half-written end waits for the rest."""
+    """Returns what is new in one gateway's segments since the last call, up to the last complete record."""
 
-    STEP = 4 << 20  # bytes a call reads at most: a console that starts on a large store stays alive
+    MAX_POLL_BYTES = 4 << 20  # limit per call, so that a console that opens a large store stays responsive
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.at: tuple[int, int, int] = (0, 0, 0)  # boot, segment, byte
-        self.seen = Sequence()
-        self.behind = False  # whether a call stopped at its bound
+        self.position: tuple[int, int, int] = (0, 0, 0)  # boot, segment, offset in bytes
+        self.sequence = SequenceChecker()
+        self.behind = False  # whether the last call stopped at MAX_POLL_BYTES
 
     def poll(self) -> list[Item | Problem]:
-        found: list[Item | Problem] = []
-        budget, self.behind = self.STEP, False
-        listed = files(self.folder)
-        for file in listed:
-            boot, number, offset = self.at
+        entries: list[Item | Problem] = []
+        budget, self.behind = self.MAX_POLL_BYTES, False
+        segments = files(self.folder)
+        for file in segments:
+            boot, number, offset = self.position
             if (file.boot, file.segment) < (boot, number) or budget <= 0:
                 self.behind |= budget <= 0
                 continue
             if (file.boot, file.segment) > (boot, number):
                 if file.boot == boot and file.segment != number + 1 and number:
-                    found.append(Problem("missing", boot, number + 1, 0, -1))
+                    entries.append(Problem("missing", boot, number + 1, 0, -1))
                 offset = 0
             if file.size <= offset:
                 continue
@@ -231,33 +246,38 @@
                     data = stream.read(min(file.size - offset, budget))
             except OSError:
                 continue
-            used = self.take(file, offset, data, found, file is not listed[-1] and len(data) < budget)
-            if not used and len(data) >= self.STEP:
-                used = len(data)  # no frame is as long: these bytes are no records
+            used = self.consume(file, offset, data, entries, file is not segments[-1] and len(data) < budget)
+            if not used and len(data) >= self.MAX_POLL_BYTES:
+                used = len(data)  # no frame is this long: these bytes hold no record
             budget -= len(data)
-            self.at = (file.boot, file.segment, offset + used)
-        return found
+            self.position = (file.boot, file.segment, offset + used)
+        return entries
+
+    def consume(
+        self, file: SegmentFile, offset: int, data: bytes, entries: list[Item | Problem], closed: bool
+    ) -> int:
+        """Adds the complete records to `entries` and returns the number of bytes consumed.
 
-    def take(self, file: File, offset: int, data: bytes, found: list[Item | Problem], closed: bool) -> int:
-        """Enters what is whole; returns the bytes used. A segment that others follow is used to its end."""
+        `closed`: later segments exist, so an incomplete end will not be completed and is reported as torn.
+        """
         start, place = 0, (file.boot, file.segment)
         if offset == 0:
             try:
-                head = segment.read_head(data)
-            except segment.NoSegment as fault:
-                if not closed and str(fault) == "torn-head":
+                header = segment.read_head(data)
+            except segment.InvalidSegment as error:
+                if not closed and str(error) == "torn-head":
                     return 0
-                found.append(Problem("no-segment", *place, 0, -1, str(fault)))
+                entries.append(Problem("no-segment", *place, 0, -1, str(error)))
             else:
-                start = head.size
-                self.seen.begin(file.boot, file.segment, head.first)
+                start = header.size
+                self.sequence.start_segment(file.boot, file.segment, header.first_seq)
         end = start
-        for part in items(data, start, place, self.seen, True):
+        for part in decode_entries(data, start, place, self.sequence, True):
             if isinstance(part, Problem) and part.kind == "torn":
                 if closed:
-                    found.append(part)
+                    entries.append(part)
                     return len(data)
-                return part.at
-            found.append(part)
+                return part.offset
+            entries.append(part)
             end = len(data)
         return end if end > start else start
--- a/damsonstream/records/writer.py
+++ b/damsonstream/records/writer.py
@@ -1,10 +1,11 @@
-"""The thread that writes records: it takes what waits, and does what the keeper plans.
+"""Background thread that writes queued records to segment files as the write policy decides.
 
-How it is called: `Writer(folder, name, limits)` makes the boot's folder place; `put(seq, payload)` hands over
-one record and never waits; `close()` writes what is left. Decisions: `keeper.py`; bytes: `segment.py`.
+`Writer(folder, name, limits)` creates the gateway's folder and claims a boot number; `put(at, payload)`
+queues one record and never blocks; `close()` writes what is queued. The write policy decides when to write,
+sync and rotate; `segment.py` defines the file format.
 
-The event loop never touches the disk: it appends framed bytes to a list, and the thread writes the whole list
-with one system call, outside the interpreter's lock.
+The event loop never touches the disk: it appends framed bytes to a queue, and the thread writes the whole
+queue with one system call, during which the interpreter lock is released.
 """
 
 from __future__ import annotations
@@ -21,30 +22,32 @@
 from pathlib import Path
 
 from damsonstream.records import model, segment
-from damsonstream.records.keeper import Keeper, Kept, Limits, next_boot
+from damsonstream.records.keeper import Limits, StoredSegment, WritePolicy, next_boot
 
 log = logging.getLogger(__name__)
-NAME = re.compile(r"(\d{8,})-(\d{8,})\.rec")
-CLOSE = 3.0  # seconds that close() waits: a gateway that ends must not hang on a disk that does
-PLACE = re.compile(r"[^A-Za-z0-9_.-]|^\.")
+SEGMENT_FILE_NAME = re.compile(r"(\d{8,})-(\d{8,})\.rec")
+CLOSE_TIMEOUT_S = 3.0  # a hanging disk must not keep the gateway from exiting
+UNSAFE_CHARACTERS = re.compile(r"[^A-Za-z0-9_.-]|^\.")
 
 
-def place(name: str) -> str:
-    """A gateway's name as a folder's name."""
-    return PLACE.sub(lambda found: "".join(f"%{b:02x}" for b in found[0].encode()), name) or "%"
+def folder_name(name: str) -> str:
+    """Returns a folder name for a gateway's name, with unsafe characters percent-encoded."""
+    return UNSAFE_CHARACTERS.sub(lambda found: "".join(f"%{b:02x}" for b in found[0].encode()), name) or "%"
 
 
 def file_name(boot: int, number: int) -> str:
     return f"{boot:08d}-{number:08d}.rec"
 
 
-def numbers(path: Path) -> tuple[int, int] | None:
-    """Boot and segment that a file's name tells."""
-    found = NAME.fullmatch(path.name)
+def parse_file_name(path: Path) -> tuple[int, int] | None:
+    """Returns the boot and segment numbers in a file name, or None if it is no segment file."""
+    found = SEGMENT_FILE_NAME.fullmatch(path.name)
     return (int(found[1]), int(found[2])) if found else None
 
 
 class Writer:
+    """Queues records of one boot and writes them to segment files from a thread of its own."""
+
     def __init__(
         self,
         folder: Path,
@@ -57,27 +60,27 @@
         write: Callable[[int, bytes], int] = os.write,
         sync: Callable[[int], None] = os.fdatasync,
     ) -> None:
-        self.name, self.folder, self.clock = name, folder / place(name), clock
+        self.name, self.folder, self.clock = name, folder / folder_name(name), clock
         self.open_file, self.write_file, self.sync_file = open_file, write, sync
         self.folder.mkdir(parents=True, exist_ok=True)
-        boots = [found[0] for path in self.folder.iterdir() if (found := numbers(path))]
-        self.boot, self.number, self.file = self.claim(boots), 0, -1
-        self.keeper = Keeper(limits, clock())
-        # Between the two threads stands a deque, whose ends are safe without a lock, and two sums that only
-        # one of them changes: the event loop never waits for the other.
-        self.pending: deque[bytes] = deque()  # framed; emptied by the thread
-        self.put_bytes = self.done_bytes = 0
-        self.first = 0  # seq of the first record that is not written
-        self.seq = 0
-        self.dropped, self.dropped_since = 0, 0  # since the last record that was taken
-        self.dropped_why = ""
-        self.lost = self.written = 0  # records, over the boot
-        self.ending = threading.Event()
+        boots = [found[0] for path in self.folder.iterdir() if (found := parse_file_name(path))]
+        self.boot, self.segment_number, self.fd = self.claim_boot(boots), 0, -1
+        self.policy = WritePolicy(limits, clock())
+        # The two threads share a deque, whose appends and pops are atomic, and two counters that are each
+        # changed by only one thread. So no lock is needed, and the event loop never blocks on the writer.
+        self.pending: deque[bytes] = deque()  # frames; emptied by the thread
+        self.accepted_bytes = self.written_bytes = 0
+        self.first_unwritten_seq = 0  # seq of the first record that is not written yet
+        self.next_seq = 0
+        self.dropped, self.dropped_since = 0, 0  # since the last accepted record
+        self.dropped_reason = ""
+        self.dropped_total = self.written_total = 0  # number of records since the start of this boot
+        self.closing = threading.Event()
         self.wake = threading.Event()
         self.thread = threading.Thread(target=self.run, name="records", daemon=True)
 
-    def claim(self, boots: list[int]) -> int:
-        """A boot's number of its own, also where two processes start under one name."""
+    def claim_boot(self, boots: list[int]) -> int:
+        """Claims a unique boot number, even if two processes start under the same name."""
         boot = next_boot(boots)
         while True:
             try:
@@ -85,150 +88,151 @@
             except FileExistsError:
                 boot += 1
                 continue
-            for old in self.folder.glob("*.boot"):
-                if old.stem.isdigit() and int(old.stem) < boot:
-                    old.unlink(missing_ok=True)
+            for stale_marker in self.folder.glob("*.boot"):
+                if stale_marker.stem.isdigit() and int(stale_marker.stem) < boot:
+                    stale_marker.unlink(missing_ok=True)
             return boot
 
     def start(self) -> None:
         self.thread.start()
 
     def put(self, at: int, payload: bytes) -> None:
-        """Takes one record, or counts it as dropped where too many wait."""
-        if not self.keeper.accepts(self.waiting) or len(payload) > segment.MOST:
+        """Queues one record, or counts it as dropped if the queue is full or the record too large."""
+        if not self.policy.accepts(self.queued_bytes) or len(payload) > segment.MAX_PAYLOAD_BYTES:
             if not self.dropped:
-                self.dropped_since, self.dropped_why = at, self.keeper.reason or "slow"
+                self.dropped_since, self.dropped_reason = at, self.policy.drop_reason or "slow"
             self.dropped += 1
-            self.lost += 1
-            self.seq += 1  # its number stays free: a reader sees how many are missing
+            self.dropped_total += 1
+            self.next_seq += 1  # skips the number, so that a reader sees how many records are missing
             return
         if self.dropped:
-            gap = model.Dropped(at, self.dropped_since, self.dropped, self.dropped_why)
+            dropped_record = model.Dropped(at, self.dropped_since, self.dropped, self.dropped_reason)
             self.dropped = self.dropped_since = 0
-            self.append(model.encode(gap))
-        self.append(payload)
+            self.enqueue(model.encode(dropped_record))
+        self.enqueue(payload)
 
     @property
-    def waiting(self) -> int:
-        """Bytes that are not written yet."""
-        return self.put_bytes - self.done_bytes
-
-    def append(self, payload: bytes) -> None:
-        framed = segment.frame(self.seq, payload)
-        self.seq += 1
-        self.put_bytes += len(framed)
+    def queued_bytes(self) -> int:
+        """Bytes that are accepted but not yet written."""
+        return self.accepted_bytes - self.written_bytes
+
+    def enqueue(self, payload: bytes) -> None:
+        framed = segment.encode_frame(self.next_seq, payload)
+        self.next_seq += 1
+        self.accepted_bytes += len(framed)
         self.pending.append(framed)
 
     def run(self) -> None:
-        batch: list[bytes] = []  # taken, not yet written: kept over a failure
+        batch: list[bytes] = []  # dequeued but not yet written; kept for the retry after an error
         while True:
-            closing = self.ending.is_set()
-            plan = self.keeper.plan(self.clock(), self.waiting, closing)
+            closing = self.closing.is_set()
+            plan = self.policy.plan(self.clock(), self.queued_bytes, closing)
             try:
-                if plan.write or plan.fresh:
+                if plan.write or plan.new_segment:
                     batch += [self.pending.popleft() for _ in range(len(self.pending))]
-                    if plan.fresh:
-                        self.begin()
-                    self.put_out(batch)
+                    if plan.new_segment:
+                        self.start_segment()
+                    self.write_batch(batch)
                 if plan.sync:
-                    before = self.clock()
-                    self.sync_file(self.file)
-                    self.keeper.synced(self.clock(), self.clock() - before)
-            except OSError as fault:
-                self.failed(fault)
+                    sync_started = self.clock()
+                    self.sync_file(self.fd)
+                    self.policy.on_synced(self.clock(), self.clock() - sync_started)
+            except OSError as error:
+                self.on_disk_error(error)
             except Exception:
                 log.exception("records")
-                self.keeper.broke(self.clock(), "fault")
+                self.policy.on_disk_error(self.clock(), "fault")
             if closing:
                 break
-            self.wake.wait(plan.wait)
-        if self.file >= 0:
+            self.wake.wait(plan.wait_s)
+        if self.fd >= 0:
             with contextlib.suppress(OSError):
-                os.close(self.file)
+                os.close(self.fd)
 
-    def put_out(self, batch: list[bytes]) -> None:
+    def write_batch(self, batch: list[bytes]) -> None:
         if not batch:
             return
         data = b"".join(batch)
-        done = self.write_file(self.file, data)
-        if done < len(
-            data
-        ):  # a short write: the disk is full. What is whole counts, the rest is written again
-            self.settle(batch, done)
+        written_bytes = self.write_file(self.fd, data)
+        # A short write means that the disk is full: complete frames count as written, the rest is retried.
+        if written_bytes < len(data):
+            self.remove_written(batch, written_bytes)
             raise OSError(errno.ENOSPC, "short write")
-        self.settle(batch, done)
+        self.remove_written(batch, written_bytes)
 
-    def settle(self, batch: list[bytes], done: int) -> None:
-        """Takes off the batch what is whole on the file."""
-        whole = size = 0
+    def remove_written(self, batch: list[bytes], written_bytes: int) -> None:
+        """Removes from the batch the frames that were written completely."""
+        complete_frames = complete_bytes = 0
         for framed in batch:
-            if size + len(framed) > done:
+            if complete_bytes + len(framed) > written_bytes:
                 break
-            size += len(framed)
-            whole += 1
-        last = segment.FRAME.unpack_from(batch[whole - 1])[2] if whole else 0
-        del batch[:whole]
-        self.written += whole
+            complete_bytes += len(framed)
+            complete_frames += 1
+        last_seq = segment.FRAME_HEADER.unpack_from(batch[complete_frames - 1])[2] if complete_frames else 0
+        del batch[:complete_frames]
+        self.written_total += complete_frames
         if batch:
-            self.first = segment.FRAME.unpack_from(batch[0])[2]
-        elif whole:
-            self.first = last + 1
-        self.done_bytes += size
-        self.keeper.wrote(self.clock(), size)
-
-    def begin(self) -> None:
-        if self.file >= 0:
+            self.first_unwritten_seq = segment.FRAME_HEADER.unpack_from(batch[0])[2]
+        elif complete_frames:
+            self.first_unwritten_seq = last_seq + 1
+        self.written_bytes += complete_bytes
+        self.policy.on_written(self.clock(), complete_bytes)
+
+    def start_segment(self) -> None:
+        if self.fd >= 0:
             with contextlib.suppress(OSError):
-                self.sync_file(self.file)
-                os.close(self.file)
-            self.file = -1
-        number = self.number + 1
-        path = self.folder / file_name(self.boot, number)
-        self.file = self.open_file(path)
-        created = time.time_ns() // 1_000_000
-        data = segment.head(self.name, self.boot, number, self.first, created)
+                self.sync_file(self.fd)
+                os.close(self.fd)
+            self.fd = -1
+        segment_number = self.segment_number + 1
+        path = self.folder / file_name(self.boot, segment_number)
+        self.fd = self.open_file(path)
+        created_ms = time.time_ns() // 1_000_000
+        data = segment.encode_header(
+            self.name, self.boot, segment_number, self.first_unwritten_seq, created_ms
+        )
         try:
-            if self.write_file(self.file, data) < len(data):
+            if self.write_file(self.fd, data) < len(data):
                 raise OSError(errno.ENOSPC, "short write")
-        except OSError:  # nothing is in it: the next try takes its name
+        except OSError:  # the file holds no records, so the next attempt reuses its name
             with contextlib.suppress(OSError):
-                os.close(self.file)
+                os.close(self.fd)
                 path.unlink()
-            self.file = -1
+            self.fd = -1
             raise
-        self.number = number
-        self.keeper.began_segment(self.clock())
-        self.tidy()
+        self.segment_number = segment_number
+        self.policy.on_segment_started(self.clock())
+        self.remove_old_segments()
         folder = os.open(self.folder, os.O_RDONLY)
         try:
-            os.fsync(folder)  # the name of the new file
+            os.fsync(folder)  # makes the new directory entry durable
         finally:
             os.close(folder)
 
-    def tidy(self, full: bool = False) -> None:
-        kept, now = [], time.time()
+    def remove_old_segments(self, disk_full: bool = False) -> None:
+        stored, now = [], time.time()
         for path in self.folder.iterdir():
-            if found := numbers(path):
+            if found := parse_file_name(path):
                 with contextlib.suppress(FileNotFoundError):
-                    told = path.stat()
-                    kept.append(Kept(*found, told.st_size, max(0.0, now - told.st_mtime)))
-        for one in self.keeper.remove(kept, (self.boot, self.number), full):
+                    status = path.stat()
+                    stored.append(StoredSegment(*found, status.st_size, max(0.0, now - status.st_mtime)))
+        for removable in self.policy.segments_to_remove(stored, (self.boot, self.segment_number), disk_full):
             with contextlib.suppress(OSError):
-                (self.folder / file_name(one.boot, one.segment)).unlink()
-
-    def failed(self, fault: OSError) -> None:
-        full = fault.errno in (errno.ENOSPC, errno.EDQUOT)
-        reason = "full" if full else (errno.errorcode.get(fault.errno or 0, "EIO")).lower()
-        if not self.keeper.reason:
-            log.error("records", extra={"outcome": "failing", "reason": reason, "what": str(fault)})
-        self.keeper.broke(self.clock(), reason)
-        if full:
+                (self.folder / file_name(removable.boot, removable.segment)).unlink()
+
+    def on_disk_error(self, error: OSError) -> None:
+        disk_full = error.errno in (errno.ENOSPC, errno.EDQUOT)
+        reason = "full" if disk_full else (errno.errorcode.get(error.errno or 0, "EIO")).lower()
+        if not self.policy.drop_reason:
+            log.error("records", extra={"outcome": "failing", "reason": reason, "what": str(error)})
+        self.policy.on_disk_error(self.clock(), reason)
+        if disk_full:
             with contextlib.suppress(OSError):
-                self.tidy(full=True)
+                self.remove_old_segments(disk_full=True)
 
     def close(self) -> None:
-        """Writes and syncs what is left; a disk that hangs is left alone after a while."""
-        self.ending.set()
+        """Writes and syncs what is queued; gives up on a hanging disk after `CLOSE_TIMEOUT_S`."""
+        self.closing.set()
         self.wake.set()
         if self.thread.ident is not None:
-            self.thread.join(CLOSE)
+            self.thread.join(CLOSE_TIMEOUT_S)
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -1,4 +1,4 @@
-"""What records tell together: clocks, accounting, rules, phases and the order of a merge."""
+"""Tests of the incident analysis: clocks, accounting, rules, phases and the order of merged records."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from damsonstream.incident.accounting import Ledger, total
-from damsonstream.incident.clocks import Clocks, Sighting, Told, align, steps
-from damsonstream.incident.gather import Both, Tales, gather, merged, summary
-from damsonstream.incident.phases import Pace, Watch
-from damsonstream.incident.rules import Rules
+from damsonstream.incident.accounting import Ledger, total_verdicts
+from damsonstream.incident.clocks import Clocks, Sighting, Told, align, find_steps
+from damsonstream.incident.gather import ListenerGroup, StorySelector, gather, merged, summary
+from damsonstream.incident.phases import SlowFillDetector, Watch
+from damsonstream.incident.rules import RuleChecker
 from damsonstream.records import model
 from damsonstream.records.keeper import Limits
 from damsonstream.records.store import Item, Problem
@@ -37,7 +37,7 @@
 
 
 class Script:
-    """One gateway's records, written one after the other."""
+    """Builds one gateway's records in order."""
 
     def __init__(self, boot: int = 1, name: str = "n1") -> None:
         self.boot, self.name, self.entries, self.seq, self.gets = boot, name, list[Item | Problem](), 0, 0
@@ -63,10 +63,10 @@
         self.add(model.Taken(at, self.gets, f"{self.gets:016x}", service, thing, group, 3 * S, False))
         return self.gets
 
-    def send(self, at: int, get: int, leg: int = 0, cache: str = "c1", source: str = "") -> Any:
+    def send_forward(self, at: int, get: int, leg: int = 0, cache: str = "c1", source: str = "") -> Any:
         self.add(model.Sent(at, get, leg, cache, source or cache, 0, False))
 
-    def come(
+    def end_forward(
         self,
         at: int,
         get: int,
@@ -86,21 +86,25 @@
     ) -> Any:
         get = self.take(at, service)
         if outcome == "returned":
-            self.send(at, get, source="o1" if first else "")
-            self.come(at + took, get, note=2 if first else 1, first=first)
+            self.send_forward(at, get, source="o1" if first else "")
+            self.end_forward(at + took, get, note=2 if first else 1, first=first)
         self.answer(at + took, get, outcome)
 
 
-class Heard:
-    """A listener that hears it all, as `gather` has it."""
+class Analysis:
+    """All listeners together, as `analyze` sets them up."""
 
     def __init__(self, clocks: Clocks | None = None) -> None:
         self.clocks = clocks or Clocks()
-        self.watch, self.rules, self.tales = Watch(self.clocks), Rules(self.clocks), Tales(self.clocks)
-        self.both = Both(self.watch, self.rules, self.tales)
+        self.phases, self.rules, self.stories = (
+            Watch(self.clocks),
+            RuleChecker(self.clocks),
+            StorySelector(self.clocks),
+        )
+        self.listeners = ListenerGroup(self.phases, self.rules, self.stories)
 
     def feed(self, script: Script, running: bool = False) -> Ledger:
-        ledger = Ledger(script.name, self.both)
+        ledger = Ledger(script.name, self.listeners)
         for entry in script.entries:
             ledger.feed(entry)
         ledger.close(running)
@@ -109,57 +113,59 @@
 
 class Accounting(TraceCase):
     def verdicts(self, script: Script, running: bool = False) -> str:
-        ledger = Heard().feed(script, running)
-        return " ".join(f"{verdict} {count}" for verdict, count in sorted(total(ledger.boots).items()))
+        ledger = Analysis().feed(script, running)
+        return " ".join(
+            f"{verdict} {count}" for verdict, count in sorted(total_verdicts(ledger.boots).items())
+        )
 
-    def test_each_way_a_get_may_end(self) -> None:
+    def test_verdict_for_each_way_a_get_can_end(self) -> None:
         told = list[str]()
         stories: dict[str, Callable[[Script], object]] = {
             "answered": lambda s: s.whole(2 * S),
             "the client left": lambda s: s.add(model.Left(3 * S, s.take(2 * S))),
-            "open as the gateway was killed": lambda s: (s.take(2 * S), s.restart()),
-            "open as the gateway ended cleanly": lambda s: (
+            "in progress when the gateway was killed": lambda s: (s.take(2 * S), s.restart()),
+            "in progress when the gateway stopped cleanly": lambda s: (
                 s.take(2 * S),
                 s.add(model.Stopped(3 * S, "signal")),
             ),
-            "open, and its time was up long before the kill": lambda s: (
+            "in progress, with its time limit over long before the kill": lambda s: (
                 s.take(2 * S),
                 s.whole(9 * S),
                 s.restart(),
             ),
             "an answer may be in a gap": lambda s: (s.take(2 * S), s.gap(), s.whole(9 * S), s.restart()),
-            "a gap before it was taken hides nothing": lambda s: (
+            "a gap before the GET was accepted hides nothing": lambda s: (
                 s.whole(2 * S),
                 s.gap(),
                 s.take(4 * S),
                 s.whole(9 * S),
                 s.restart(),
             ),
-            "a gap that the gateway told of": lambda s: (
+            "a gap that the gateway recorded": lambda s: (
                 s.take(2 * S),
                 s.add(model.Dropped(3 * S, 25_000, 40, "full")),
                 s.whole(9 * S),
                 s.restart(),
             ),
             "two answers": lambda s: (s.whole(2 * S), s.answer(3 * S, 1)),
-            "two answers while a forward is out": lambda s: (
-                s.send(2 * S, s.take(2 * S)),
+            "two answers while a forward is pending": lambda s: (
+                s.send_forward(2 * S, s.take(2 * S)),
                 s.answer(21_000, 1),
                 s.answer(22_000, 1, "shed"),
-                s.come(3 * S, 1),
+                s.end_forward(3 * S, 1),
             ),
             "three answers": lambda s: (s.whole(2 * S), s.answer(3 * S, 1), s.answer(3 * S, 1)),
             "an answer after the client left": lambda s: (
                 s.add(model.Left(3 * S, s.take(2 * S))),
                 s.answer(3 * S, 1),
             ),
-            "an answer to nobody": lambda s: (s.whole(2 * S), s.answer(3 * S, 77)),
-            "an answer to one whose taking is in a gap": lambda s: (
+            "an answer to an unknown GET": lambda s: (s.whole(2 * S), s.answer(3 * S, 77)),
+            "an answer to a GET whose start is in a gap": lambda s: (
                 s.whole(2 * S),
                 s.gap(),
                 s.answer(3 * S, 2),
             ),
-            "taken twice": lambda s: (
+            "accepted twice": lambda s: (
                 s.whole(2 * S),
                 s.add(model.Taken(3 * S, 1, "a", 0, "7f", 1, S, False)),
             ),
@@ -170,7 +176,7 @@
             told.append(f"{name}: {self.verdicts(script)}")
         script = Script()
         script.take(2 * S)
-        told.append(f"open while the gateway runs: {self.verdicts(script, running=True)}")
+        told.append(f"in progress while the gateway runs: {self.verdicts(script, running=True)}")
         self.check("accounting", told)
 
     @given(st.lists(st.sampled_from(["whole", "left", "none", "twice"]), max_size=30), st.randoms())
@@ -188,15 +194,15 @@
             if kind == "twice":
                 script.answer(at + 200, script.gets)
         script.add(model.Stopped(at + 10 * S, "signal"))
-        found = {v: n for v, n in total(Heard().feed(script).boots).items() if n}
+        found = {v: n for v, n in total_verdicts(Analysis().feed(script).boots).items() if n}
         names = {"whole": "once"}
         expected = {names.get(k, k): kinds.count(k) for k in kinds}
         self.assertEqual(found, expected)
 
 
-class TheRules(TraceCase):
+class RuleChecks(TraceCase):
     def told(self, script: Script) -> str:
-        heard = Heard()
+        heard = Analysis()
         heard.feed(script)
         shown = [f for f in heard.rules.findings() if f.broken or f.untold]
         return (
@@ -210,57 +216,59 @@
         def play(name: str, *steps: object) -> None:
             told.append(f"{name}: {self.told(script)}")
 
-        for name, delay in (("in time, by the tolerance", 3 * S + 400), ("late", 3 * S + 900)):
+        for name, delay in (("in time, within the tolerance", 3 * S + 400), ("late", 3 * S + 900)):
             script = Script()
             script.whole(2 * S, took=delay)
             play(name)
         script = Script()
         script.whole(2 * S)
-        script.send(2 * S + 200, 1, 1)
-        play("a forward to a GET that is over")
+        script.send_forward(2 * S + 200, 1, 1)
+        play("a forward for a GET that has ended")
         script = Script()
         get = script.take(2 * S)
-        script.send(2 * S, get)
+        script.send_forward(2 * S, get)
         script.answer(21_000, get)
-        script.send(21_100, get, 1)
-        play("a forward after the answer, one still out")
+        script.send_forward(21_100, get, 1)
+        play("a forward after the answer, one still pending")
         for service, result, cache, at in (
             (2, "broken", "c1", 0), (2, "shed", "c1", 0), (1, "broken", "c1", 0), (1, "broken", "c2", 0),
             (1, "broken", "c1", 4 * S), (0, "broken", "c2", 0),
         ):  # fmt: skip
             script = Script()
             get = script.take(2 * S, service)
-            script.send(2 * S, get)
-            script.come(2 * S + 100, get, result)
-            script.send(2 * S + 200 + at, get, 1, cache)
+            script.send_forward(2 * S, get)
+            script.end_forward(2 * S + 100, get, result)
+            script.send_forward(2 * S + 200 + at, get, 1, cache)
             script.answer(21_000, get)
-            play(f"{(PAGES, ORDER, FIRM)[service].name} again at {cache} after {result}, {at / S:g} s later")
+            play(
+                f"{(PAGES, ORDER, FIRM)[service].name} retried at {cache} after {result}, {at / S:g} s later"
+            )
         for service in (1, 2):
             script = Script()
             get = script.take(2 * S, service)
-            script.send(2 * S, get)
+            script.send_forward(2 * S, get)
             script.answer(21_000, get, "shed")
-            play(f"{(PAGES, ORDER, FIRM)[service].name} shed with a forward out")
+            play(f"{(PAGES, ORDER, FIRM)[service].name} shed with a forward pending")
         for after in (S, 2 * S):
             script = Script()
             script.add(model.Listed(2 * S, 5, False, False, lines(("p1", "hub", "leaving"))))
             get = script.take(2 * S + after)
-            script.send(2 * S + after, get, source="p1")
+            script.send_forward(2 * S + after, get, source="p1")
             script.answer(3 * S + after, get)
-            play(f"a draining source named {after / S:g} s later")
+            play(f"a draining source used {after / S:g} s later")
         for sent, stamp in ((2000, 0), (4000, 0), (4000, 1500), (4000, 2500)):
             script = Script()
             script.add(model.Purge(2 * S, 5, "", 1, 2 * S))
             get = script.take(2 * S + sent)
-            script.send(2 * S + sent, get)
-            script.come(3 * S + sent, get, stamp=stamp)
+            script.send_forward(2 * S + sent, get)
+            script.end_forward(3 * S + sent, get, stamp=stamp)
             script.answer(3 * S + sent, get)
             play(f"sent {sent / MS:g} ms after a purge, copy of {stamp or 'an unknown time'}")
         self.check("rules", told)
 
 
-class ThePhases(TraceCase):
-    def test_slow_failing_overloaded_and_back(self) -> None:
+class Phases(TraceCase):
+    def test_slow_source_breaker_overload_and_recovery(self) -> None:
         script, chance, at = Script(), random.Random(3), 2 * S
         while at < 42 * S:
             at += int(chance.expovariate(20) * S)
@@ -274,10 +282,10 @@
         script.add(model.Breaker(36 * S, "parent", "p1", "Closed", 0, 0, 0))
         script.add(model.Purge(40 * S, 9, "", 4, 40 * S))
         script.add(model.Purge(40 * S + 50, 10, "", 5, 40 * S))
-        heard = Heard()
+        heard = Analysis()
         ledger = heard.feed(script)
         told = []
-        for phase in heard.watch.phases(ledger.boots):
+        for phase in heard.phases.phases(ledger.boots):
             cost = phase.cost
             told.append(
                 f"{phase.start / S:.1f} to {phase.end / S:.1f} {phase.kind} {phase.subject}: "
@@ -285,12 +293,12 @@
             )
         self.check("phases", told)
 
-    def test_one_slow_fill_is_no_phase_and_one_fast_one_no_end(self) -> None:
+    def test_single_slow_or_fast_fills_neither_start_nor_end_a_phase(self) -> None:
         def spans(slow: Iterable[int]) -> list[tuple[int, int]]:
-            pace, bad = Pace(), set(slow)
+            pace, bad = SlowFillDetector(), set(slow)
             for place in range(60):
                 pace.add(place * S, 4000 if place in bad else 400)
-            return [(span.start // S, span.end // S) for span in pace.trouble.spans]
+            return [(span.start // S, span.end // S) for span in pace.detector.spans]
 
         self.assertEqual(spans([20, 30, 40]), [])
         self.assertEqual(spans(range(20, 40)), [(20, 39)])
@@ -298,7 +306,7 @@
         self.assertEqual(spans([*range(20, 25), *range(40, 45)]), [(20, 24), (40, 44)])
 
 
-def seen(
+def observations(
     clocks: dict[str, tuple[int, float]], events: int, gap: int, jitter: int, seed: int
 ) -> list[Sighting]:
     chance, found = random.Random(seed), list[Sighting]()
@@ -309,7 +317,7 @@
     return found
 
 
-class TheClocks(TraceCase):
+class ClockAlignment(TraceCase):
     @given(
         st.lists(st.integers(-60 * S, 60 * S), min_size=2, max_size=7),
         st.integers(2, 30),
@@ -317,41 +325,41 @@
         st.integers(0, 99),
     )
     @settings(max_examples=80)
-    def test_offsets_are_right_within_what_is_stated(
+    def test_offsets_are_right_within_the_stated_uncertainty(
         self, offsets: list[int], events: int, jitter: int, seed: int
     ) -> None:
         clocks = {f"n{place}": (offset, 0.0) for place, offset in enumerate(offsets)}
-        fitted = align(seen(clocks, events, 3 * S, jitter, seed), [])
+        fitted = align(observations(clocks, events, 3 * S, jitter, seed), [])
         for one, first in enumerate(offsets):
             for other, second in enumerate(offsets):
                 a, b = fitted.fits[f"n{one}", 1], fitted.fits[f"n{other}", 1]
                 slack = jitter if events < 6 else 0  # a few can agree by chance
                 off = abs((a.offset - b.offset) - (first - second))
-                self.assertLessEqual(off, a.sure + b.sure + slack)
+                self.assertLessEqual(off, a.uncertainty + b.uncertainty + slack)
 
-    def test_drift_restart_and_those_that_saw_nothing(self) -> None:
+    def test_drift_restart_and_gateways_without_common_events(self) -> None:
         clocks = {"n1": (0, 0.0), "n2": (3 * S, 0.0005), "n3": (-S, 0.0)}
         boots = [Told((name, 1), S, 400 * S) for name in clocks]
         boots += [Told(("n2", 2), 410 * S, 500 * S, 0), Told(("n4", 1), S, 400 * S)]
-        fitted = align(seen(clocks, 40, 10 * S, 30 * MS, 5), boots)
+        fitted = align(observations(clocks, 40, 10 * S, 30 * MS, 5), boots)
         told = []
         for (name, boot), fit in sorted(fitted.fits.items()):
-            sure = "?" if fit.sure < 0 else f"{fit.sure / MS:.0f} ms"
+            sure = "?" if fit.uncertainty < 0 else f"{fit.uncertainty / MS:.0f} ms"
             told.append(
                 f"{name} boot {boot}: {fit.offset / MS:+.0f} ms, {fit.drift * 1e6:+.0f} ppm, within {sure}, "
-                f"{fit.how}"
+                f"{fit.basis}"
             )
         a = (("n1", 1), 5, 100 * S)
         for other, at in (("n2", 103 * S), ("n2", 110 * S), ("n4", 300 * S), ("n1", 100 * S)):
-            told.append(f"n1 at 100 s and {other} at {at / S:g} s: {fitted.order(a, ((other, 1), 9, at))}")
+            told.append(f"n1 at 100 s and {other} at {at / S:g} s: {fitted.compare(a, ((other, 1), 9, at))}")
         self.check("clocks", told)
 
-    def test_a_clock_that_is_set_back_while_it_runs(self) -> None:
+    def test_a_clock_set_back_while_running_is_a_step(self) -> None:
         pulses = [(at * S, at * S + (0 if at < 5 else -7 * S) + at) for at in range(10)]
-        self.assertEqual([(at // S, round(size / S)) for at, size in steps(pulses)], [(5, -7)])
+        self.assertEqual([(at // S, round(size / S)) for at, size in find_steps(pulses)], [(5, -7)])
 
 
-class Together(TraceCase):
+class StoredRecords(TraceCase):
     def setUp(self) -> None:
         holder = tempfile.TemporaryDirectory()
         self.addCleanup(holder.cleanup)
@@ -366,7 +374,7 @@
                 writer.put(0, model.encode(moved))
         writer.close()
 
-    def test_merged_in_fleet_time_and_never_reordered_within_a_gateway(self) -> None:
+    def test_records_are_merged_by_fleet_time_and_keep_their_order_within_a_gateway(self) -> None:
         for name, shift in (("n1", 0), ("n2", 3 * S), ("n3", -2 * S)):
             script = Script(name=name)
             for place in range(6):
@@ -379,7 +387,7 @@
                 told.append(f"{at / S:.1f} {name} {item.record.thing or item.record.group}")
         self.check("merged", told)
 
-    def test_hostile_names_stay_text(self) -> None:
+    def test_hostile_names_are_escaped(self) -> None:
         name = "<script>alert(1)</script>\x1b[2J\x00$x^$ {{7*7}} ]]>&amp;"
         evil = model.Service(name, 4000, 0.0, 30_000, 2.0, 0.15, "idempotent", "all", 0)
         script = Script(name=name)
@@ -388,9 +396,9 @@
         script.add(model.Listed(S, 1, False, False, told))
         for place in range(40):
             get = script.take((2 + place) * S, thing=name)
-            script.send((2 + place) * S, get, cache=name, source="o1")
+            script.send_forward((2 + place) * S, get, cache=name, source="o1")
             first = 4000 if place > 20 else 300
-            script.come((2 + place) * S + first, get, "returned", note=2, first=first)
+            script.end_forward((2 + place) * S + first, get, "returned", note=2, first=first)
             script.answer((2 + place) * S + first, get)
         script.add(model.Breaker(60 * S, name, name, "Open", 5, 5, 5))
         script.add(model.Turned(61 * S, name, "errored", name))
