--- a/damsonstream/incident/clocks.py
+++ b/damsonstream/incident/clocks.py
@@ -94,18 +94,18 @@
         return "before" if difference > 0 else "after"
 
 
-def shared_events(sightings: Iterable[Sighting]) -> dict[Hashable, dict[Boot, int]]:
+def shared_events(observations: Iterable[Sighting]) -> dict[Hashable, dict[Boot, int]]:
     """Returns the times at which boots observed each event that at least two of them observed.
 
     An event that a boot observed twice is left out, because it can't be matched unambiguously.
     """
     by_event: dict[Hashable, dict[Boot, int]] = defaultdict(dict)
     ambiguous: set[Hashable] = set()
-    for sighting in sightings:
-        boots = by_event[sighting.event]
-        if sighting.boot in boots:
-            ambiguous.add(sighting.event)
-        boots[sighting.boot] = sighting.at
+    for observation in observations:
+        boots = by_event[observation.event]
+        if observation.boot in boots:
+            ambiguous.add(observation.event)
+        boots[observation.boot] = observation.at
     return {event: boots for event, boots in by_event.items() if len(boots) > 1 and event not in ambiguous}
 
 
@@ -145,10 +145,10 @@
     return (kept[-1] - kept[0]) / 2 if kept else 0.0
 
 
-def align(sightings: Iterable[Sighting], boots: Iterable[Told]) -> Clocks:
+def align(observations: Iterable[Sighting], boots: Iterable[Told]) -> Clocks:
     """Fits the clock of each boot from its common events, an adjacent boot, or as its own clock."""
     times = {one.boot: one for one in boots}
-    events = shared_events(sightings)
+    events = shared_events(observations)
     clocks = Clocks()
     for group in connected_boots(events):
         clocks.fits.update(fit_group(group, events))
@@ -195,11 +195,10 @@
     }
     largest = max(abs(y) for rest in final_residuals.values() for y in rest)
     for boot, rest in final_residuals.items():
-        # few residuals may agree by chance, so the largest residual of the group is used instead
+        # Few residuals may agree by chance, so the largest residual of the group is used instead.
         error = largest if len(rest) < 20 else half_range(rest)
-        uncertainty = (
-            max(MIN_UNCERTAINTY, round(2 * error)) if len(rest) > 1 else SINGLE_EVENT_UNCERTAINTY
-        )  # the median halves a difference between two
+        # The error is doubled because the median of two boots halves their difference.
+        uncertainty = max(MIN_UNCERTAINTY, round(2 * error)) if len(rest) > 1 else SINGLE_EVENT_UNCERTAINTY
         fits[boot] = ClockFit(
             round(offset[boot]), drift[boot], first_seen[boot], uncertainty, "events", len(rest)
         )
--- a/damsonstream/incident/gather.py
+++ b/damsonstream/incident/gather.py
@@ -80,14 +80,14 @@
 
     @property
     def turned(self) -> Counter[str]:
-        counted: Counter[str] = Counter()
+        reasons: Counter[str] = Counter()
         for boot in self.boots:
-            counted.update(boot.turned)
-        return counted
+            reasons.update(boot.turned)
+        return reasons
 
     @property
     def accounted(self) -> bool:
-        """Whether each GET has exactly one answer or a valid reason for having none."""
+        """Whether the accounting is complete: each GET has one answer or a valid reason for having none."""
         return not any(self.verdicts[verdict] for verdict in VIOLATIONS)
 
     @property
@@ -109,6 +109,7 @@
     sequence: int = 0
 
     def over(self, get: Get, verdict: str) -> None:
+        """Offers a GET that has ended; its sort and weight depend on its verdict, outcome and duration."""
         answer = get.answered
         duration = answer.at - get.taken.at if answer else 0
         outcome = answer.outcome if answer else ""
@@ -209,6 +210,7 @@
 
 
 def align_clocks(folders: dict[str, Path]) -> tuple[Clocks, list[tuple[str, int, int, int]]]:
+    """Reads the clock evidence of all gateways; returns the clocks and the steps of system clocks."""
     observed: list[Sighting] = []
     boots: list[Told] = []
     clock_steps: list[tuple[str, int, int, int]] = []
@@ -223,7 +225,7 @@
     return align(observed, boots), clock_steps
 
 
-MOST_PROBLEMS = 200
+MAX_PROBLEMS = 200
 
 
 def gather(folder: Path, names: Iterable[str] = (), running: bool = False) -> Incident:
@@ -247,7 +249,7 @@
         for entry in reader.read():
             if isinstance(entry, Problem):
                 problem_count += 1
-                if len(problems) < MOST_PROBLEMS:
+                if len(problems) < MAX_PROBLEMS:
                     problems.append((name, entry))
             else:
                 count += 1
--- a/damsonstream/incident/phases.py
+++ b/damsonstream/incident/phases.py
@@ -70,7 +70,7 @@
     end: int
     evidence: list[str]
     gateways: list[str]
-    sure: int = 0  # maximum error of start and end, -1: not known
+    sure: int = 0  # uncertainty: maximum error of start and end, -1: not known
     open: bool = False  # it had not ended at the end of the records
     cost: Cost = field(default_factory=Cost)
 
@@ -97,9 +97,8 @@
 
     def __init__(self) -> None:
         self.spans: list[TroubleSpan] = []
-        self.recent: deque[tuple[int, bool, int, str]] = deque(
-            maxlen=DETECTION_WINDOW
-        )  # sent, bad, magnitude, kind
+        # sent, bad, magnitude, kind
+        self.recent: deque[tuple[int, bool, int, str]] = deque(maxlen=DETECTION_WINDOW)
         self.current: TroubleSpan | None = None
         self.good_run = 0  # consecutive good samples
 
@@ -140,7 +139,7 @@
     def __init__(self) -> None:
         self.baseline, self.sample_count = 0.0, 0
         self.first_samples: list[int] = []
-        self.detector = TroubleDetector()
+        self.trouble = TroubleDetector()
 
     def add(self, sent: int, first_byte: int) -> None:
         if self.sample_count < BASELINE_SAMPLES:  # the first samples define the baseline
@@ -151,7 +150,7 @@
         slow = first_byte > SLOW_FACTOR * self.baseline and first_byte > self.baseline + SLOW_MARGIN
         if not slow:
             self.baseline += BASELINE_WEIGHT * (first_byte - self.baseline)
-        self.detector.add(sent, slow, first_byte, "slow")
+        self.trouble.add(sent, slow, first_byte, "slow")
 
 
 @dataclass(slots=True)
@@ -174,16 +173,15 @@
         self.clocks = clocks
         self.rates = Rates(width)
         self.latencies, self.sources = Latencies(), Latencies()
-        self.first_bytes: dict[tuple[str, str], SlowFillDetector] = defaultdict(
-            SlowFillDetector
-        )  # gateway, node
+        # by gateway and node
+        self.first_bytes: dict[tuple[str, str], SlowFillDetector] = defaultdict(SlowFillDetector)
         self.forward_results: dict[tuple[str, str], TroubleDetector] = defaultdict(TroubleDetector)
         self.turns: list[BreakerChange] = []
         self.purges: list[tuple[int, str, model.Purge]] = []  # received (fleet time), gateway
         self.cache_changes: list[tuple[int, str, str, str]] = []  # time, gateway, node, state
         self.roles: dict[str, str] = {}  # by node: parent, origin or cache
         self.services: dict[str, model.Service] = {}
-        self.names: dict[tuple[str, int], list[str]] = {}  # of each boot, by index
+        self.service_names: dict[tuple[str, int], list[str]] = {}  # of each boot, by index
         self.client_kb_per_s: dict[tuple[str, int], float] = {}
         self.models: dict[tuple[str, int], tuple[str, str]] = {}  # of parents and origins, by boot
         self.origin = ""  # name of the origin node
@@ -220,7 +218,7 @@
         elif isinstance(record, model.Began):
             self.models[gateway, boot] = (record.parent_model, record.origin_model)
             self.client_kb_per_s[gateway, boot] = record.kb_per_s
-            self.names[gateway, boot] = [service.name for service in record.services]
+            self.service_names[gateway, boot] = [service.name for service in record.services]
             for service in record.services:
                 self.services[service.name] = service
         elif isinstance(record, model.Listed):
@@ -246,8 +244,8 @@
         )
 
     def service_name(self, gateway: str, boot: int, index: int) -> str:
-        service_names = self.names.get((gateway, boot), [])
-        return service_names[index] if 0 <= index < len(service_names) else ""
+        names = self.service_names.get((gateway, boot), [])
+        return names[index] if 0 <= index < len(names) else ""
 
     def sent(self, get: Get, sent: model.Sent) -> None:
         self.rates.add(self.fleet_time(get.gateway, get.boot, sent.at), ("forward", ""))
@@ -353,6 +351,7 @@
         return -1 if not uncertainties or min(uncertainties) < 0 else max(uncertainties)
 
     def find_purges(self) -> list[Phase]:
+        """Finds purges; those that are close together form one phase."""
         phases: list[Phase] = []
         cluster: list[tuple[int, str, model.Purge]] = []
         for entry in [*sorted(self.purges, key=lambda entry: (entry[0], entry[1])), None]:
@@ -366,12 +365,12 @@
 
     def purge_phase(self, cluster: list[tuple[int, str, model.Purge]]) -> Phase:
         purges = {(purge.thing, purge.group, purge.issued) for _, _, purge in cluster}
-        groups, things = sum(not w[0] for w in purges), sum(bool(w[0]) for w in purges)
+        groups, objects = sum(not key[0] for key in purges), sum(bool(key[0]) for key in purges)
         received: dict[tuple[str, int, int], list[int]] = defaultdict(list)
         for at, _, purge in cluster:
             received[purge.thing, purge.group, purge.issued].append(at)
         spread = max(max(times) - min(times) for times in received.values())
-        parts = [f"{groups} groups"] * (groups > 0) + [f"{things} objects"] * (things > 0)
+        parts = [f"{groups} groups"] * (groups > 0) + [f"{objects} objects"] * (objects > 0)
         gateways = sorted({gateway for _, gateway, _ in cluster})
         evidence = [f"{' and '.join(parts)} purged, received by {len(gateways)} gateways",
                     f"the same purge reached gateways within {spread / MS:.0f} ms of each other"]  # fmt: skip
@@ -403,11 +402,11 @@
         return phases
 
     def group_spans(
-        self, found: dict[tuple[str, str], list[TroubleSpan]]
+        self, by_source: dict[tuple[str, str], list[TroubleSpan]]
     ) -> list[tuple[str, list[tuple[str, TroubleSpan]]]]:
         """Groups spans of one node that overlap or nearly overlap, across all gateways."""
         by_node: dict[str, list[tuple[str, TroubleSpan]]] = defaultdict(list)
-        for (gateway, node), node_spans in found.items():
+        for (gateway, node), node_spans in by_source.items():
             by_node[node] += [(gateway, span) for span in node_spans]
         groups: list[tuple[str, list[tuple[str, TroubleSpan]]]] = []
         for node, spans in sorted(by_node.items()):
@@ -424,9 +423,10 @@
         return groups
 
     def find_slow_sources(self) -> list[Phase]:
+        """Finds spans in which fills from a source took longer than usual to the first byte."""
         phases = []
         for node, group in self.group_spans(
-            {key: pace.detector.spans for key, pace in self.first_bytes.items()}
+            {key: fills.trouble.spans for key, fills in self.first_bytes.items()}
         ):
             baseline = median(self.first_bytes[gateway, node].baseline for gateway, _ in group)
             worst = max(span.worst for _, span in group)
@@ -437,9 +437,10 @@
         return phases
 
     def find_failing(self) -> list[Phase]:
+        """Finds spans in which forwards to a node, or fills from it, failed."""
         phases = []
         for node, group in self.group_spans(
-            {key: trouble.spans for key, trouble in self.forward_results.items()}
+            {key: results.spans for key, results in self.forward_results.items()}
         ):
             kinds: Counter[str] = Counter()
             for _, span in group:
@@ -451,6 +452,7 @@
     def span_phase(
         self, group: list[tuple[str, TroubleSpan]], kind: str, node: str, evidence: list[str]
     ) -> Phase:
+        """Returns the phase that covers a group of spans of one node."""
         start, end = min(span.start for _, span in group), max(span.end for _, span in group)
         gateways = sorted({gateway for gateway, _ in group})
         evidence.append(f"seen by {', '.join(gateways)}")
@@ -463,22 +465,23 @@
         return f"{self.roles.get(node, 'node')} {node}"
 
     def find_breaker_phases(self, boots: list[Boot]) -> list[Phase]:
+        """Finds spans in which breakers of a node were open or half-open."""
         ends = {boot.gateway_boot: self.fleet_time(boot.gateway, boot.number, boot.last) for boot in boots}
         spans: dict[tuple[str, str], list[tuple[str, TroubleSpan]]] = defaultdict(list)
         by_gateway: dict[tuple[str, int, str], list[BreakerChange]] = defaultdict(list)
-        for turn in self.turns:
-            by_gateway[turn.gateway, turn.boot, turn.record.node].append(turn)
+        for change in self.turns:
+            by_gateway[change.gateway, change.boot, change.record.node].append(change)
         reasons: dict[tuple[str, str], list[str]] = defaultdict(list)
-        for (gateway, boot, node), breaker_changes in by_gateway.items():
-            for turn, following in zip(breaker_changes, [*breaker_changes[1:], None], strict=True):
-                state = turn.record.state
+        for (gateway, boot, node), changes in by_gateway.items():
+            for change, following in zip(changes, [*changes[1:], None], strict=True):
+                state = change.record.state
                 if state == "Closed":
                     continue
-                end = following.at if following else ends.get((gateway, boot), turn.at)
-                span = TroubleSpan(turn.at, end, end if following else 0, 1)
+                end = following.at if following else ends.get((gateway, boot), change.at)
+                span = TroubleSpan(change.at, end, end if following else 0, 1)
                 spans[state, node].append((gateway, span))
                 if state == "Open":
-                    record = turn.record
+                    record = change.record
                     window = f"{record.failures:g} of {record.count:g} in the window"
                     reasons["Open", node].append(f"{gateway}: {record.run} bad in a row, {window}")
         phases = []
@@ -525,8 +528,8 @@
                 silent[record.standing][gateway] = record.silent
         phases = []
         for standing, group in self.group_spans(spans):
-            evidence = [f"{name} hears nothing of {', '.join(map(str, places)) or 'nobody in particular'}"
-                    for name, places in sorted(silent[standing].items())]  # fmt: skip
+            evidence = [f"{name} hears nothing of {', '.join(map(str, peers)) or 'nobody in particular'}"
+                        for name, peers in sorted(silent[standing].items())]  # fmt: skip
             phase = self.span_phase(group, "peers", standing, evidence[:8])
             phase.subject = standing
             phases.append(phase)
@@ -540,9 +543,8 @@
         """
         ends = {boot.gateway_boot: self.fleet_time(boot.gateway, boot.number, boot.last) for boot in boots}
         spans: dict[tuple[str, str], list[TroubleSpan]] = defaultdict(list)
-        state_changes: dict[str, list[tuple[int, str, str]]] = defaultdict(
-            list
-        )  # by zone: time, gateway, state
+        # by zone: time, gateway, state
+        state_changes: dict[str, list[tuple[int, str, str]]] = defaultdict(list)
         latest: dict[tuple[str, int, str], tuple[str, TroubleSpan | None]] = {}
         zone_records: dict[tuple[str, int], list[tuple[int, model.Zones]]] = defaultdict(list)
         for at, gateway, boot, record in sorted(self.zone_views, key=lambda one: one[:3]):
@@ -567,8 +569,8 @@
             for state in ("Doubted", "Lost", "Lost here", "Cut off", "Returning", "Well"):
                 changes = [
                     (at, name)
-                    for at, name, what in state_changes[zone]
-                    if what == state and start <= at <= end
+                    for at, name, seen_state in state_changes[zone]
+                    if seen_state == state and start <= at <= end
                 ]
                 if changes:
                     names = sorted({name for _, name in changes})
@@ -598,15 +600,16 @@
         for records in zone_records.values():
             in_span = [record for at, record in records if start <= at <= end]
             for sign, record in ((1, in_span[-1]), (-1, in_span[0])) if in_span else ():
-                for source, other, count, limit in record.spilt:
+                for source, target, count, limit in record.spilt:
                     if source == zone:
-                        counts[other] += sign * count
-                        limits[other] = limit
+                        counts[target] += sign * count
+                        limits[target] = limit
         seconds = max(0.1, (end - start) / S)
-        return [f"spilled into {other}: {count} fills, {count / seconds:.1f} a second of {limits[other]:g}"
-                for other, count in sorted(counts.items()) if count > 0]  # fmt: skip
+        return [f"spilled into {target}: {count} fills, {count / seconds:.1f} a second of {limits[target]:g}"
+                for target, count in sorted(counts.items()) if count > 0]  # fmt: skip
 
     def find_overloads(self) -> list[Phase]:
+        """Finds spans in which the fleet shed a notable share of its GETs."""
         names = ("", *self.services)
         width, phases = self.rates.width, list[Phase]()
         start = end = -1
@@ -635,6 +638,7 @@
         return phases
 
     def find_restarts(self, boots: list[Boot]) -> list[Phase]:
+        """Finds the time between the last record of a boot and the first one of the next."""
         phases, previous = list[Phase](), dict[str, Boot]()
         for boot in sorted(boots, key=lambda boot: (boot.gateway, boot.number)):
             earlier = previous.get(boot.gateway)
@@ -653,6 +657,7 @@
         return phases
 
     def find_gaps(self, boots: list[Boot]) -> list[Phase]:
+        """Finds gaps in the records, except those at the end or the start of a boot's records."""
         phases = []
         for boot in boots:
             for since, until, count, reason in boot.gaps:
--- a/damsonstream/incident/rules.py
+++ b/damsonstream/incident/rules.py
@@ -17,16 +17,9 @@
 MS, S = 10, 10_000
 # For boots that do not record their grace periods: the largest that an installation has used so far.
 DEFAULT_DRAIN_GRACE, DEFAULT_PURGE_GRACE = 2 * S, 500 * MS
-NOT_EXECUTED = (
-    "shed",
-    "lacking",
-    "unreached",
-    "unsent",
-)  # results that prove that the request was not executed
+NOT_EXECUTED = ("shed", "lacking", "unreached", "unsent")  # results that prove that nothing was executed
 MAX_EXAMPLES = 8  # for each rule
-PURGE_RETENTION = (
-    600 * S
-)  # purges are checked this long; every cached copy has been replaced or removed long before
+PURGE_RETENTION = 600 * S  # purges are checked for this long; all caches have applied them long before
 # A node counts as cold for this long after its reported start. Gateways know the exact duration, but it is
 # not recorded.
 COLD_PERIOD = 30 * S
@@ -55,13 +48,11 @@
 class BootView:
     """What one boot knew about caches and purges, at the current point of its records."""
 
-    cache_states: dict[str, tuple[str, int, str]] = field(
-        default_factory=dict
-    )  # cache: state, since, location
-    purges: dict[str | int, tuple[int, int]] = field(
-        default_factory=dict
-    )  # object or group: received, issued
-    started_at: dict[str, int] = field(default_factory=dict)  # cache: its reported start time
+    # by cache: state, since, location
+    cache_states: dict[str, tuple[str, int, str]] = field(default_factory=dict)
+    # by object or group: received, issued
+    purges: dict[str | int, tuple[int, int]] = field(default_factory=dict)
+    started_at: dict[str, int] = field(default_factory=dict)  # by cache: its reported start time
     drain_grace: int = DEFAULT_DRAIN_GRACE
     purge_grace: int = DEFAULT_PURGE_GRACE
 
@@ -77,13 +68,11 @@
                  "purges kept")  # fmt: skip
         self.results = [Finding(number, name) for number, name in enumerate(names, 1)]
         self.boots: dict[tuple[str, int], BootView] = {}
-        self.cold_forwards: Counter[tuple[str, int]] = (
-            Counter()
-        )  # forwards to each cold node in each second of fleet time
+        # forwards to each cold node in each second of fleet time
+        self.cold_forwards: Counter[tuple[str, int]] = Counter()
         self.cold_failures: Counter[str] = Counter()  # failed forwards to cold nodes that indicate overload
-        self.answered_early: dict[tuple[str, int], set[int]] = defaultdict(
-            set
-        )  # GETs answered before all their forwards had ended
+        # GETs answered before all their forwards had ended
+        self.answered_early: dict[tuple[str, int], set[int]] = defaultdict(set)
 
     def finding(self, number: int) -> Finding:
         return self.results[number - 1]
@@ -119,6 +108,7 @@
             self.finding(1).cases += 1
 
     def update_caches(self, known: BootView, record: model.Listed) -> None:
+        """Applies a list of caches; an active cache that a full list omits has left."""
         if record.whole and not record.more:
             listed_caches = {line.cache for line in record.lines}
             for cache, (state, _, location) in list(known.cache_states.items()):
@@ -139,6 +129,7 @@
     # GETs
 
     def sent(self, get: Get, sent: model.Sent) -> None:
+        """Checks a forward for rules 1 (not after the answer), 2 (retries), 3 (drains) and 4 (cold nodes)."""
         known = self.boot_view(get.gateway, get.boot)
         label = f"{get.gateway} boot {get.boot} GET {get.taken.ident}"
         if get.answered is not None:
@@ -162,6 +153,7 @@
                 self.cold_forwards[node, second] += 1
 
     def check_retry(self, get: Get, sent: model.Sent, effect: str, label: str) -> None:
+        """Checks rule 2 for a retry of a GET that is not idempotent, after forwards that may have run."""
         finding = self.finding(2)
         finding.cases += 1
         may_have_run = [leg for leg in get.forwards.values() if leg.number != sent.leg
@@ -185,7 +177,7 @@
             self.add_violation(2, f"{label}: forward {sent.leg} left the group that remembers its token")
         elif get.service.scope == "cell" and sent.cache != first.sent.cache:
             finding.untold += 1
-            finding.why = "records do not tell which caches share a cell"
+            finding.why = "records do not show which caches share a cell"
 
     def came(self, get: Get, leg: Leg) -> None:
         assert leg.came is not None
@@ -202,6 +194,7 @@
             self.check_purges(get, leg, known)
 
     def check_purges(self, get: Get, leg: Leg, known: BootView) -> None:
+        """Checks rule 5: a forward sent after a purge must not return a copy older than the purge."""
         assert leg.came is not None
         keys: tuple[str | int, ...] = (get.taken.thing, get.taken.group)
         for key in keys:
@@ -222,6 +215,7 @@
                                    f"answered from a copy {age_s:.2f} s older than it")  # fmt: skip
 
     def answered(self, get: Get) -> None:
+        """Checks the final answer for rules 1 (in time) and 2 (not shed if a forward may have run)."""
         assert get.answered is not None
         finding, answer, taken = self.finding(1), get.answered, get.taken
         finding.cases += 1
@@ -257,6 +251,7 @@
         self.add_violation(1, f"{gateway} boot {boot} GET number {record.get}: {what}")
 
     def findings(self) -> list[Finding]:
+        """Returns the findings of all rules."""
         finding = self.finding(4)
         finding.cases = sum(self.cold_forwards.values())
         if finding.cases:
--- a/damsonstream/incident/words.py
+++ b/damsonstream/incident/words.py
@@ -15,8 +15,8 @@
 def plain(text: object, max_chars: int = MAX_NAME_CHARS) -> str:
     """Returns the text with unprintable characters escaped, truncated to `max_chars`."""
     full = str(text)
-    shown_text = "".join(c if c.isprintable() else f"\\x{ord(c):02x}" for c in full[:max_chars])
-    return shown_text + "..." * (len(full) > max_chars)
+    escaped = "".join(c if c.isprintable() else f"\\x{ord(c):02x}" for c in full[:max_chars])
+    return escaped + "..." * (len(full) > max_chars)
 
 
 # By the numeric note of a Came record: how the cache produced its answer.
--- a/damsonstream/records/keeper.py
+++ b/damsonstream/records/keeper.py
@@ -26,9 +26,8 @@
 # Delay after a disk error, doubled with each further one; the maximum makes sure that a full disk is retried
 # often.
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.25, 8.0
-MAX_SEGMENT_BYTES = (
-    8 << 20
-)  # small enough to read whole into memory; half a minute of records at 2,000 GETs a second
+# Small enough to read whole into memory; half a minute of records at 2,000 GETs a second.
+MAX_SEGMENT_BYTES = 8 << 20
 MAX_SEGMENT_AGE_S = (
     300.0  # starts a new segment even on an idle gateway, so that old ones can be removed by age
 )
--- a/damsonstream/records/model.py
+++ b/damsonstream/records/model.py
@@ -94,7 +94,7 @@
     leg: int
     cache: str
     result: str
-    note: int  # how the cache produced the answer, index in incident/words.py: NOTE_TEXTS
+    note: int  # how the cache produced the answer, index in incident/describe.py: NOTE_TEXTS
     took: int
     first_byte: int  # time until the first byte from the source, 0: not reported
     shared: bool  # lost together with other forwards on the same connection
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -31,9 +31,9 @@
 FIRM = model.Service("firm", 4000, 0.0, 30_000, 5.0, 0.15, "non-idempotent", "all", 0)
 
 
-def lines(*told: tuple[str, str, str]) -> list[model.Line]:
-    return [model.Line(cache, place, state, 1.0, {"p": "hub", "o": "vault"}.get(cache[0], "box"), 0)
-            for cache, place, state in told]  # fmt: skip
+def lines(*caches: tuple[str, str, str]) -> list[model.Line]:
+    return [model.Line(cache, location, state, 1.0, {"p": "hub", "o": "vault"}.get(cache[0], "box"), 0)
+            for cache, location, state in caches]  # fmt: skip
 
 
 class Script:
@@ -42,9 +42,9 @@
     def __init__(self, boot: int = 1, name: str = "n1") -> None:
         self.boot, self.name, self.entries, self.seq, self.gets = boot, name, list[Item | Problem](), 0, 0
         self.add(model.Began(S, boot, name, "t", S, "shop", [PAGES, ORDER, FIRM], "hub", "vault", S, 3000))
-        told = lines(("c1", "shop", "active"), ("c2", "other", "active"), ("p1", "hub", "active"),
-                     ("o1", "hub", "active"))  # fmt: skip
-        self.add(model.Listed(S, 0, True, False, told))
+        caches = lines(("c1", "shop", "active"), ("c2", "other", "active"), ("p1", "hub", "active"),
+                       ("o1", "hub", "active"))  # fmt: skip
+        self.add(model.Listed(S, 0, True, False, caches))
 
     def add(self, record: model.AnyRecord) -> Any:
         self.entries.append(Item(self.boot, self.seq, record))
@@ -119,8 +119,8 @@
         )
 
     def test_verdict_for_each_way_a_get_can_end(self) -> None:
-        told = list[str]()
-        stories: dict[str, Callable[[Script], object]] = {
+        trace = list[str]()
+        cases: dict[str, Callable[[Script], object]] = {
             "answered": lambda s: s.whole(2 * S),
             "the client left": lambda s: s.add(model.Left(3 * S, s.take(2 * S))),
             "in progress when the gateway was killed": lambda s: (s.take(2 * S), s.restart()),
@@ -170,21 +170,21 @@
                 s.add(model.Taken(3 * S, 1, "a", 0, "7f", 1, S, False)),
             ),
         }
-        for name, story in stories.items():
+        for name, build in cases.items():
             script = Script()
-            story(script)
-            told.append(f"{name}: {self.verdicts(script)}")
+            build(script)
+            trace.append(f"{name}: {self.verdicts(script)}")
         script = Script()
         script.take(2 * S)
-        told.append(f"in progress while the gateway runs: {self.verdicts(script, running=True)}")
-        self.check("accounting", told)
+        trace.append(f"in progress while the gateway runs: {self.verdicts(script, running=True)}")
+        self.check("accounting", trace)
 
     @given(st.lists(st.sampled_from(["whole", "left", "none", "twice"]), max_size=30), st.randoms())
     @settings(max_examples=60)
-    def test_verdicts_add_up_to_the_gets(self, kinds: list[str], chance: random.Random) -> None:
+    def test_verdicts_add_up_to_the_gets(self, kinds: list[str], rng: random.Random) -> None:
         script, at = Script(), 2 * S
         for kind in kinds:
-            at += chance.randrange(S)
+            at += rng.randrange(S)
             if kind in ("whole", "twice"):
                 script.whole(at)
             else:
@@ -201,35 +201,35 @@
 
 
 class RuleChecks(TraceCase):
-    def told(self, script: Script) -> str:
-        heard = Analysis()
-        heard.feed(script)
-        shown = [f for f in heard.rules.findings() if f.broken or f.untold]
+    def describe_findings(self, script: Script) -> str:
+        analysis = Analysis()
+        analysis.feed(script)
+        shown = [f for f in analysis.rules.findings() if f.broken or f.untold]
         return (
             "; ".join(f"rule {f.number} {f.verdict}: {(f.examples or [f.why])[0]}" for f in shown)
             or "all kept"
         )
 
     def test_each_rule_broken_and_kept(self) -> None:
-        told = list[str]()
+        trace = list[str]()
 
-        def play(name: str, *steps: object) -> None:
-            told.append(f"{name}: {self.told(script)}")
+        def add_case(name: str, *steps: object) -> None:
+            trace.append(f"{name}: {self.describe_findings(script)}")
 
         for name, delay in (("in time, within the tolerance", 3 * S + 400), ("late", 3 * S + 900)):
             script = Script()
             script.whole(2 * S, took=delay)
-            play(name)
+            add_case(name)
         script = Script()
         script.whole(2 * S)
         script.send_forward(2 * S + 200, 1, 1)
-        play("a forward for a GET that has ended")
+        add_case("a forward for a GET that has ended")
         script = Script()
         get = script.take(2 * S)
         script.send_forward(2 * S, get)
         script.answer(21_000, get)
         script.send_forward(21_100, get, 1)
-        play("a forward after the answer, one still pending")
+        add_case("a forward after the answer, one still pending")
         for service, result, cache, at in (
             (2, "broken", "c1", 0), (2, "shed", "c1", 0), (1, "broken", "c1", 0), (1, "broken", "c2", 0),
             (1, "broken", "c1", 4 * S), (0, "broken", "c2", 0),
@@ -240,7 +240,7 @@
             script.end_forward(2 * S + 100, get, result)
             script.send_forward(2 * S + 200 + at, get, 1, cache)
             script.answer(21_000, get)
-            play(
+            add_case(
                 f"{(PAGES, ORDER, FIRM)[service].name} retried at {cache} after {result}, {at / S:g} s later"
             )
         for service in (1, 2):
@@ -248,14 +248,14 @@
             get = script.take(2 * S, service)
             script.send_forward(2 * S, get)
             script.answer(21_000, get, "shed")
-            play(f"{(PAGES, ORDER, FIRM)[service].name} shed with a forward pending")
+            add_case(f"{(PAGES, ORDER, FIRM)[service].name} shed with a forward pending")
         for after in (S, 2 * S):
             script = Script()
             script.add(model.Listed(2 * S, 5, False, False, lines(("p1", "hub", "leaving"))))
             get = script.take(2 * S + after)
             script.send_forward(2 * S + after, get, source="p1")
             script.answer(3 * S + after, get)
-            play(f"a draining source used {after / S:g} s later")
+            add_case(f"a draining source used {after / S:g} s later")
         for sent, stamp in ((2000, 0), (4000, 0), (4000, 1500), (4000, 2500)):
             script = Script()
             script.add(model.Purge(2 * S, 5, "", 1, 2 * S))
@@ -263,18 +263,18 @@
             script.send_forward(2 * S + sent, get)
             script.end_forward(3 * S + sent, get, stamp=stamp)
             script.answer(3 * S + sent, get)
-            play(f"sent {sent / MS:g} ms after a purge, copy of {stamp or 'an unknown time'}")
-        self.check("rules", told)
+            add_case(f"sent {sent / MS:g} ms after a purge, copy of {stamp or 'an unknown time'}")
+        self.check("rules", trace)
 
 
 class Phases(TraceCase):
     def test_slow_source_breaker_overload_and_recovery(self) -> None:
-        script, chance, at = Script(), random.Random(3), 2 * S
+        script, rng, at = Script(), random.Random(3), 2 * S
         while at < 42 * S:
-            at += int(chance.expovariate(20) * S)
+            at += int(rng.expovariate(20) * S)
             slow = 12 * S <= at < 20 * S
-            first = (400 if slow else 40) * MS + chance.randrange(100)
-            shed = 24 * S <= at < 27 * S and chance.random() < 0.6
+            first = (400 if slow else 40) * MS + rng.randrange(100)
+            shed = 24 * S <= at < 27 * S and rng.random() < 0.6
             script.whole(at, took=first + 50, first=first, outcome="shed" if shed else "returned")
         script.entries.sort(key=lambda entry: entry.record.at if isinstance(entry, Item) else 0)
         script.add(model.Breaker(30 * S, "parent", "p1", "Open", 5, 9, 6.5))
@@ -282,23 +282,23 @@
         script.add(model.Breaker(36 * S, "parent", "p1", "Closed", 0, 0, 0))
         script.add(model.Purge(40 * S, 9, "", 4, 40 * S))
         script.add(model.Purge(40 * S + 50, 10, "", 5, 40 * S))
-        heard = Analysis()
-        ledger = heard.feed(script)
-        told = []
-        for phase in heard.phases.phases(ledger.boots):
+        analysis = Analysis()
+        ledger = analysis.feed(script)
+        trace = []
+        for phase in analysis.phases.phases(ledger.boots):
             cost = phase.cost
-            told.append(
+            trace.append(
                 f"{phase.start / S:.1f} to {phase.end / S:.1f} {phase.kind} {phase.subject}: "
                 f"{'; '.join(phase.evidence)}; shed {cost.shed:.0f}, missed {cost.missed:.2f}"
             )
-        self.check("phases", told)
+        self.check("phases", trace)
 
     def test_single_slow_or_fast_fills_neither_start_nor_end_a_phase(self) -> None:
         def spans(slow: Iterable[int]) -> list[tuple[int, int]]:
-            pace, bad = SlowFillDetector(), set(slow)
-            for place in range(60):
-                pace.add(place * S, 4000 if place in bad else 400)
-            return [(span.start // S, span.end // S) for span in pace.detector.spans]
+            detector, bad = SlowFillDetector(), set(slow)
+            for index in range(60):
+                detector.add(index * S, 4000 if index in bad else 400)
+            return [(span.start // S, span.end // S) for span in detector.trouble.spans]
 
         self.assertEqual(spans([20, 30, 40]), [])
         self.assertEqual(spans(range(20, 40)), [(20, 39)])
@@ -309,12 +309,13 @@
 def observations(
     clocks: dict[str, tuple[int, float]], events: int, gap: int, jitter: int, seed: int
 ) -> list[Sighting]:
-    chance, found = random.Random(seed), list[Sighting]()
+    """Returns observations of common events by clocks with the given offset and drift."""
+    rng, observed = random.Random(seed), list[Sighting]()
     for event in range(events):
         for name, (offset, drift) in clocks.items():
-            true = event * gap + chance.randrange(jitter + 1)
-            found.append(Sighting((name, 1), event, true + offset + round(drift * true)))
-    return found
+            true = event * gap + rng.randrange(jitter + 1)
+            observed.append(Sighting((name, 1), event, true + offset + round(drift * true)))
+    return observed
 
 
 class ClockAlignment(TraceCase):
@@ -328,7 +329,7 @@
     def test_offsets_are_right_within_the_stated_uncertainty(
         self, offsets: list[int], events: int, jitter: int, seed: int
     ) -> None:
-        clocks = {f"n{place}": (offset, 0.0) for place, offset in enumerate(offsets)}
+        clocks = {f"n{index}": (offset, 0.0) for index, offset in enumerate(offsets)}
         fitted = align(observations(clocks, events, 3 * S, jitter, seed), [])
         for one, first in enumerate(offsets):
             for other, second in enumerate(offsets):
@@ -342,17 +343,17 @@
         boots = [Told((name, 1), S, 400 * S) for name in clocks]
         boots += [Told(("n2", 2), 410 * S, 500 * S, 0), Told(("n4", 1), S, 400 * S)]
         fitted = align(observations(clocks, 40, 10 * S, 30 * MS, 5), boots)
-        told = []
+        trace = []
         for (name, boot), fit in sorted(fitted.fits.items()):
-            sure = "?" if fit.uncertainty < 0 else f"{fit.uncertainty / MS:.0f} ms"
-            told.append(
-                f"{name} boot {boot}: {fit.offset / MS:+.0f} ms, {fit.drift * 1e6:+.0f} ppm, within {sure}, "
-                f"{fit.basis}"
+            uncertainty = "?" if fit.uncertainty < 0 else f"{fit.uncertainty / MS:.0f} ms"
+            trace.append(
+                f"{name} boot {boot}: {fit.offset / MS:+.0f} ms, {fit.drift * 1e6:+.0f} ppm, "
+                f"within {uncertainty}, {fit.basis}"
             )
         a = (("n1", 1), 5, 100 * S)
         for other, at in (("n2", 103 * S), ("n2", 110 * S), ("n4", 300 * S), ("n1", 100 * S)):
-            told.append(f"n1 at 100 s and {other} at {at / S:g} s: {fitted.compare(a, ((other, 1), 9, at))}")
-        self.check("clocks", told)
+            trace.append(f"n1 at 100 s and {other} at {at / S:g} s: {fitted.compare(a, ((other, 1), 9, at))}")
+        self.check("clocks", trace)
 
     def test_a_clock_set_back_while_running_is_a_step(self) -> None:
         pulses = [(at * S, at * S + (0 if at < 5 else -7 * S) + at) for at in range(10)]
@@ -370,47 +371,47 @@
         writer.start()
         for entry in script.entries:
             if isinstance(entry, Item):
-                moved = msgspec.structs.replace(entry.record, at=entry.record.at + shift)
-                writer.put(0, model.encode(moved))
+                shifted = msgspec.structs.replace(entry.record, at=entry.record.at + shift)
+                writer.put(0, model.encode(shifted))
         writer.close()
 
     def test_records_are_merged_by_fleet_time_and_keep_their_order_within_a_gateway(self) -> None:
         for name, shift in (("n1", 0), ("n2", 3 * S), ("n3", -2 * S)):
             script = Script(name=name)
-            for place in range(6):
-                script.add(model.Purge((4 + place) * S, 5 + place, "", place, place * S))
+            for index in range(6):
+                script.add(model.Purge((4 + index) * S, 5 + index, "", index, index * S))
             script.add(model.Purge(5 * S, 99, "late", -1, 1))  # written after, with an earlier time
             self.write(script, shift)
-        told = []
+        trace = []
         for at, name, item in merged(self.folder):
             if isinstance(item.record, model.Purge):
-                told.append(f"{at / S:.1f} {name} {item.record.thing or item.record.group}")
-        self.check("merged", told)
+                trace.append(f"{at / S:.1f} {name} {item.record.thing or item.record.group}")
+        self.check("merged", trace)
 
     def test_hostile_names_are_escaped(self) -> None:
         name = "<script>alert(1)</script>\x1b[2J\x00$x^$ {{7*7}} ]]>&amp;"
-        evil = model.Service(name, 4000, 0.0, 30_000, 2.0, 0.15, "idempotent", "all", 0)
+        hostile = model.Service(name, 4000, 0.0, 30_000, 2.0, 0.15, "idempotent", "all", 0)
         script = Script(name=name)
-        script.entries[0] = Item(1, 0, model.Began(S, 1, name, name, S, name, [evil], "hub", "vault"))
-        told = [model.Line(name, name, "active", 1.0, "vault", 0)]
-        script.add(model.Listed(S, 1, False, False, told))
-        for place in range(40):
-            get = script.take((2 + place) * S, thing=name)
-            script.send_forward((2 + place) * S, get, cache=name, source="o1")
-            first = 4000 if place > 20 else 300
-            script.end_forward((2 + place) * S + first, get, "returned", note=2, first=first)
-            script.answer((2 + place) * S + first, get)
+        script.entries[0] = Item(1, 0, model.Began(S, 1, name, name, S, name, [hostile], "hub", "vault"))
+        caches = [model.Line(name, name, "active", 1.0, "vault", 0)]
+        script.add(model.Listed(S, 1, False, False, caches))
+        for index in range(40):
+            get = script.take((2 + index) * S, thing=name)
+            script.send_forward((2 + index) * S, get, cache=name, source="o1")
+            first = 4000 if index > 20 else 300
+            script.end_forward((2 + index) * S + first, get, "returned", note=2, first=first)
+            script.answer((2 + index) * S + first, get)
         script.add(model.Breaker(60 * S, name, name, "Open", 5, 5, 5))
         script.add(model.Turned(61 * S, name, "errored", name))
         self.write(script)
         incident = gather(self.folder)
-        made = page(incident)
-        self.assertNotIn("<script", made)
-        self.assertNotIn("\x1b", made)
-        self.assertNotIn("\x00", made)
-        self.assertNotIn("http://", made.replace("http://www.w3.org/", "").replace("http://purl.org/", "")
+        html = page(incident)
+        self.assertNotIn("<script", html)
+        self.assertNotIn("\x1b", html)
+        self.assertNotIn("\x00", html)
+        self.assertNotIn("http://", html.replace("http://www.w3.org/", "").replace("http://purl.org/", "")
                          .replace("http://creativecommons.org/", ""))  # fmt: skip
-        self.assertIn("&lt;script&gt;alert(1)", made)
+        self.assertIn("&lt;script&gt;alert(1)", html)
         self.assertEqual(summary(incident)["accounting"]["verdicts"], {"once": 40})
 
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -57,12 +57,12 @@
         whole = bytearray(b"".join(frames))
         if not whole:
             return
-        place = data.draw(st.integers(0, len(whole) - 1))
-        whole[place] ^= data.draw(st.integers(1, 255))
+        position = data.draw(st.integers(0, len(whole) - 1))
+        whole[position] ^= data.draw(st.integers(1, 255))
         ends = [sum(map(len, frames[: n + 1])) for n in range(len(frames))]
-        hit = next(n for n, end in enumerate(ends) if place < end)
+        damaged = next(n for n, end in enumerate(ends) if position < end)
         found = [part.seq for part in segment.scan(bytes(whole), 0) if isinstance(part, segment.Whole)]
-        self.assertEqual(found, [n for n in range(len(frames)) if n != hit])
+        self.assertEqual(found, [n for n in range(len(frames)) if n != damaged])
 
     @given(st.lists(st.binary(max_size=30), min_size=1, max_size=6), st.integers(0, 400))
     @settings(max_examples=100)
@@ -140,20 +140,22 @@
 
     def test_segments_are_removed_by_size_age_and_full_disk(self) -> None:
         policy, lines = WritePolicy(Limits(1000, 60.0), 0.0), list[str]()
-        kept = [
+        stored = [
             StoredSegment(1, 1, 400, 90.0),
             StoredSegment(1, 2, 400, 50.0),
             StoredSegment(2, 1, 300, 20.0),
             StoredSegment(2, 2, 200, 0.0),
         ]
 
-        def add_line(what: str, gone: list[StoredSegment]) -> None:
-            lines.append(f"{what}: {[(one.boot, one.segment) for one in gone]}")
+        def add_line(case: str, removed: list[StoredSegment]) -> None:
+            lines.append(f"{case}: {[(one.boot, one.segment) for one in removed]}")
 
-        add_line("by size, then by age", policy.segments_to_remove(kept, (2, 2)))
-        add_line("nothing", policy.segments_to_remove(kept[2:], (2, 2)))
-        add_line("full, half of the store left", policy.segments_to_remove(kept[1:3], (2, 1), disk_full=True))
-        add_line("full, less than half", policy.segments_to_remove(kept[2:], (2, 2), disk_full=True))
+        add_line("by size, then by age", policy.segments_to_remove(stored, (2, 2)))
+        add_line("nothing", policy.segments_to_remove(stored[2:], (2, 2)))
+        add_line(
+            "full, half of the store left", policy.segments_to_remove(stored[1:3], (2, 1), disk_full=True)
+        )
+        add_line("full, less than half", policy.segments_to_remove(stored[2:], (2, 2), disk_full=True))
         add_line(
             "the current segment is kept",
             policy.segments_to_remove([StoredSegment(2, 2, 5000, 99.0)], (2, 2), disk_full=True),
@@ -313,11 +315,11 @@
                 program.send_signal(signal.SIGKILL)
                 rest = program.stdout.read().split()
             written = max([written, *map(int, rest[:-1])])
-            mine = [entry for entry in self.read() if entry.boot == round + 1]
-            items = [entry for entry in mine if isinstance(entry, Item)]
+            entries = [entry for entry in self.read() if entry.boot == round + 1]
+            items = [entry for entry in entries if isinstance(entry, Item)]
             self.assertGreaterEqual(len(items), written)
             self.assertEqual([item.seq for item in items], list(range(len(items))))
-            self.assertLessEqual({p.kind for p in mine if isinstance(p, Problem)}, {"torn"})
+            self.assertLessEqual({p.kind for p in entries if isinstance(p, Problem)}, {"torn"})
 
     def test_follower_reads_while_the_writer_writes(self) -> None:
         folder, lines = self.folder / "n0", list[str]()
