--- a/damsonstream/incident/words.py
+++ b/damsonstream/incident/words.py
@@ -1,7 +1,7 @@
 """Describes records as text that is safe to print. No I/O.
 
 `describe_record(record)` describes any record in one line and `describe_step(record)` a step of a GET.
-`printable(text)` makes any text safe for a terminal: names come from the network and may contain control
+`plain(text)` makes any text safe for a terminal: names come from the network and may contain control
 characters or terminal escapes. HTML is escaped by the page templates.
 """
 
