--- a/damsonstream/incident/phases.py
+++ b/damsonstream/incident/phases.py
@@ -172,6 +172,7 @@
     def __init__(self, clocks: Clocks, width: int = S // 2) -> None:
         self.clocks = clocks
         self.rates = Rates(width)
+        # time from accepting a GET to returning its answer, by delivery service; first bytes, by source
         self.latencies, self.sources = Latencies(), Latencies()
         # by gateway and node
         self.first_bytes: dict[tuple[str, str], SlowFillDetector] = defaultdict(SlowFillDetector)
--- a/damsonstream/incident/rates.py
+++ b/damsonstream/incident/rates.py
@@ -35,6 +35,7 @@
         bucket[key] += amount
 
     def double_width(self) -> None:
+        """Merges pairs of adjacent buckets."""
         self.width *= 2
         wider: dict[int, dict[Hashable, float]] = {}
         for index, bucket in self.buckets.items():
@@ -44,6 +45,7 @@
         self.buckets = wider
 
     def span(self) -> tuple[int, int]:
+        """Returns the start of the first bucket and the end of the last one."""
         if not self.buckets:
             return 0, 0
         return min(self.buckets) * self.width, (max(self.buckets) + 1) * self.width
--- a/damsonstream/records/keeper.py
+++ b/damsonstream/records/keeper.py
@@ -20,17 +20,16 @@
 # Interval between syncs. Together with WRITE_INTERVAL_S, a machine crash loses at most about a third of a
 # second, and a disk that takes 10 ms per sync is busy for 1/25 of the time.
 SYNC_INTERVAL_S = 0.25
-# The next sync waits at least this many times the duration of the last one, so that syncs do not monopolize
-# a slow disk that is shared with other processes.
+# The next sync waits at least this many times the duration of the last one, so that syncs keep a slow disk,
+# which other processes may share, busy for at most a third of the time.
 SYNC_PAUSE_FACTOR = 3.0
 # Delay after a disk error, doubled with each further one; the maximum makes sure that a full disk is retried
 # often.
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.25, 8.0
 # Small enough to read whole into memory; half a minute of records at 2,000 GETs a second.
 MAX_SEGMENT_BYTES = 8 << 20
-MAX_SEGMENT_AGE_S = (
-    300.0  # starts a new segment even on an idle gateway, so that old ones can be removed by age
-)
+# An idle gateway starts a new segment too, so that old segments can be removed by age.
+MAX_SEGMENT_AGE_S = 300.0
 MAX_QUEUED_BYTES = 1 << 20  # records are dropped when the queue is longer; 5 s at 2,000 GETs a second
 
 
@@ -90,13 +89,16 @@
         return max(4096, min(MAX_SEGMENT_BYTES, self.limits.bytes // 8))
 
     def on_segment_started(self, now: float) -> None:
+        """Handles the start of a new segment."""
         self.segment_open, self.segment_bytes, self.segment_started_at = True, 0, now
 
     def on_written(self, now: float, byte_count: int) -> None:
+        """Handles a successful write, which ends a series of disk errors."""
         self.segment_bytes += byte_count
         self.unsynced, self.failed_attempts, self.drop_reason = True, 0, ""
 
     def on_synced(self, now: float, duration_s: float) -> None:
+        """Handles a successful sync and schedules the next one."""
         self.unsynced = False
         self.next_sync_at = now + max(SYNC_INTERVAL_S, SYNC_PAUSE_FACTOR * duration_s)
 
--- a/damsonstream/records/model.py
+++ b/damsonstream/records/model.py
@@ -237,6 +237,7 @@
 
 
 def decode(data: bytes | memoryview) -> AnyRecord:
+    """Decodes a record; raises `Unknown` for a kind of a newer version and `Unreadable` for other bytes."""
     try:
         return _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
--- a/damsonstream/records/recorder.py
+++ b/damsonstream/records/recorder.py
@@ -33,6 +33,7 @@
         self.disabled = False
 
     def write(self, record: model.AnyRecord) -> None:
+        """Queues a record; an exception disables the recording."""
         if self.disabled:
             return
         try:
@@ -42,6 +43,7 @@
             log.exception("records")
 
     def record_time(self, now: int) -> int:
+        """Returns the time to record for `now`."""
         return now if self.adjust_clock is None else self.adjust_clock(now)
 
     # calls from the gateway (the observer interface)
@@ -70,6 +72,7 @@
         self.write(model.Left(self.record_time(now), number))
 
     def decided(self, now: int, actions: list[i.Action]) -> None:
+        """Records the breaker changes among the router's actions."""
         for action in actions:
             if isinstance(action, i.Trace):
                 role, _, rest = action.text.partition(" ")
--- a/damsonstream/records/segment.py
+++ b/damsonstream/records/segment.py
@@ -48,7 +48,7 @@
 
 
 class Whole(msgspec.Struct, frozen=True, gc=False):
-    """An intact frame. There is one per record, and msgspec creates it five times as fast as a dataclass."""
+    """An intact frame. One is made per record: msgspec does so five times as fast as a frozen dataclass."""
 
     seq: int
     payload: memoryview
@@ -65,17 +65,20 @@
 
 
 def encode_header(name: str, boot: int, segment: int, first_seq: int, created_ms: int) -> bytes:
+    """Returns the header of a segment."""
     text = name.encode()
     data = HEADER.pack(MAGIC, VERSION, len(text), boot, segment, first_seq, created_ms) + text
     return data + CHECKSUM.pack(crc32(data))
 
 
 def encode_frame(seq: int, payload: bytes) -> bytes:
+    """Returns the frame of one record."""
     framed = FRAME_HEADER.pack(FRAME_MARKER, len(payload), seq) + payload
     return framed + CHECKSUM.pack(crc32(framed))
 
 
 def read_head(data: bytes | memoryview) -> SegmentHeader:
+    """Decodes the header of a segment; raises `InvalidSegment`."""
     if len(data) < HEADER.size:
         raise InvalidSegment("torn-head")
     magic, version, length, boot, segment, first_seq, created_ms = HEADER.unpack_from(data)
--- a/damsonstream/records/store.py
+++ b/damsonstream/records/store.py
@@ -136,30 +136,30 @@
     def read_file(
         self, file: SegmentFile, sequence: SequenceChecker, newest: bool, kinds: frozenset[int]
     ) -> Iterator[Item | Problem]:
-        location = (file.boot, file.segment)
+        segment_id = (file.boot, file.segment)
         try:
             with file.path.open("rb") as stream:
                 data = stream.read(self.max_file_bytes + 1)
         except OSError as error:
-            yield Problem("missing", *location, 0, -1, error.strerror or "")
+            yield Problem("missing", *segment_id, 0, -1, error.strerror or "")
             return
         self.bytes += len(data)
         if len(data) > self.max_file_bytes:
-            yield Problem("no-segment", *location, 0, -1, f"over {self.max_file_bytes} bytes")
+            yield Problem("no-segment", *segment_id, 0, -1, f"over {self.max_file_bytes} bytes")
             return
         try:
             header = segment.read_head(data)
         except segment.InvalidSegment as error:
             if newest and str(error) == "torn-head":
                 return  # just created, or cut off before the first record
-            yield Problem("no-segment", *location, 0, -1, str(error))
+            yield Problem("no-segment", *segment_id, 0, -1, str(error))
             # frames carry their own sequence numbers, so intact frames behind a damaged header are still used
-            yield from decode_entries(data, 0, location, sequence, newest, kinds)
+            yield from decode_entries(data, 0, segment_id, sequence, newest, kinds)
             return
         if header.version > segment.VERSION:
-            yield Problem("newer", *location, 0, -1, f"version {header.version}")
+            yield Problem("newer", *segment_id, 0, -1, f"version {header.version}")
         sequence.start_segment(file.boot, file.segment, header.first_seq)
-        yield from decode_entries(data, header.size, location, sequence, newest, kinds)
+        yield from decode_entries(data, header.size, segment_id, sequence, newest, kinds)
 
 
 def kind_tags(*kinds: type) -> frozenset[int]:
@@ -170,7 +170,7 @@
 def decode_entries(
     data: bytes,
     start: int,
-    location: tuple[int, int],
+    segment_id: tuple[int, int],
     sequence: SequenceChecker,
     newest: bool,
     kinds: frozenset[int] = frozenset(),
@@ -180,38 +180,38 @@
     `newest`: whether this is the gateway's last segment, which may still be written.
     `kinds`: tags of the kinds to decode, empty for all.
     """
-    boot = location[0]
+    boot = segment_id[0]
     if boot != sequence.boot:
-        sequence.start_segment(boot, location[1], 0)
+        sequence.start_segment(boot, segment_id[1], 0)
     for part in segment.scan(data, start):
         if isinstance(part, segment.DamagedBytes):
             if part.reason == "flipped" or not newest:
-                yield Problem(part.reason, *location, part.offset, -1, f"{part.size} bytes")
+                yield Problem(part.reason, *segment_id, part.offset, -1, f"{part.size} bytes")
             elif part.size:
-                yield Problem("torn", *location, part.offset, -1, f"{part.size} bytes")
+                yield Problem("torn", *segment_id, part.offset, -1, f"{part.size} bytes")
             continue
         # A record is a msgpack array of under 16 fields, and its first field is its tag, under 128. So the
         # tag is the second byte, and other kinds can be skipped without decoding them.
         if kinds and len(part.payload) > 1 and part.payload[1] not in kinds:
             if missing := sequence.count_missing(part.seq, None):
-                yield sequence_problem(missing, location, part.after)
+                yield sequence_problem(missing, segment_id, part.after)
             continue
         try:
             record = model.decode(part.payload)
         except (model.Unknown, model.Unreadable) as error:
             sequence.next_seq = part.seq + 1
             kind = "unknown" if isinstance(error, model.Unknown) else "unreadable"
-            yield Problem(kind, *location, part.after, 1, str(error)[:200])
+            yield Problem(kind, *segment_id, part.after, 1, str(error)[:200])
             continue
         if missing := sequence.count_missing(part.seq, record):
-            yield sequence_problem(missing, location, part.after)
+            yield sequence_problem(missing, segment_id, part.after)
             if missing < 0:
                 continue
         yield Item(boot, part.seq, record)
 
 
-def sequence_problem(missing: int, location: tuple[int, int], offset: int) -> Problem:
-    return Problem("lost" if missing > 0 else "doubled", *location, offset, missing if missing > 0 else 0)
+def sequence_problem(missing: int, segment_id: tuple[int, int], offset: int) -> Problem:
+    return Problem("lost" if missing > 0 else "doubled", *segment_id, offset, missing if missing > 0 else 0)
 
 
 class Follower:
@@ -260,19 +260,19 @@
 
         `closed`: later segments exist, so an incomplete end will not be completed and is reported as torn.
         """
-        start, location = 0, (file.boot, file.segment)
+        start, segment_id = 0, (file.boot, file.segment)
         if offset == 0:
             try:
                 header = segment.read_head(data)
             except segment.InvalidSegment as error:
                 if not closed and str(error) == "torn-head":
                     return 0
-                entries.append(Problem("no-segment", *location, 0, -1, str(error)))
+                entries.append(Problem("no-segment", *segment_id, 0, -1, str(error)))
             else:
                 start = header.size
                 self.sequence.start_segment(file.boot, file.segment, header.first_seq)
         end = start
-        for part in decode_entries(data, start, location, self.sequence, True):
+        for part in decode_entries(data, start, segment_id, self.sequence, True):
             if isinstance(part, Problem) and part.kind == "torn":
                 if closed:
                     entries.append(part)
--- a/damsonstream/records/writer.py
+++ b/damsonstream/records/writer.py
@@ -36,6 +36,7 @@
 
 
 def file_name(boot: int, number: int) -> str:
+    """Returns the file name of a segment; names sort by boot and segment number."""
     return f"{boot:08d}-{number:08d}.rec"
 
 
@@ -123,6 +124,7 @@
         self.pending.append(framed)
 
     def run(self) -> None:
+        """Runs in the thread: follows the write policy's plans until `close` is called."""
         batch: list[bytes] = []  # dequeued but not yet written; kept for the retry after an error
         while True:
             closing = self.closing.is_set()
@@ -150,6 +152,7 @@
                 os.close(self.fd)
 
     def write_batch(self, batch: list[bytes]) -> None:
+        """Writes a batch of frames with one system call; what is not written stays in the batch."""
         if not batch:
             return
         data = b"".join(batch)
@@ -179,6 +182,7 @@
         self.policy.on_written(self.clock(), complete_bytes)
 
     def start_segment(self) -> None:
+        """Closes the current segment and creates the next one."""
         if self.fd >= 0:
             with contextlib.suppress(OSError):
                 self.sync_file(self.fd)
@@ -210,6 +214,7 @@
             os.close(folder)
 
     def remove_old_segments(self, disk_full: bool = False) -> None:
+        """Deletes the segments that the write policy no longer keeps."""
         stored, now = [], time.time()
         for path in self.folder.iterdir():
             if found := parse_file_name(path):
@@ -221,6 +226,7 @@
                 (self.folder / file_name(removable.boot, removable.segment)).unlink()
 
     def on_disk_error(self, error: OSError) -> None:
+        """Logs the first of a series of disk errors, and makes room if the disk is full."""
         disk_full = error.errno in (errno.ENOSPC, errno.EDQUOT)
         reason = "full" if disk_full else (errno.errorcode.get(error.errno or 0, "EIO")).lower()
         if not self.policy.drop_reason:
