--- a/damsonstream/incident/gather.py
+++ b/damsonstream/incident/gather.py
@@ -373,7 +373,7 @@
             for name, boot, at, size in incident.steps
         ],
         "problems": [
-            {"gateway": name, "kind": p.kind, "boot": p.boot, "segment": p.segment, "at": p.offset,
+            {"gateway": name, "kind": p.kind, "boot": p.boot, "segment": p.segment, "at": p.at,
              "records": p.count, "detail": p.detail}
             for name, p in incident.problems
         ],
--- a/damsonstream/records/store.py
+++ b/damsonstream/records/store.py
@@ -34,7 +34,7 @@
     kind: str
     boot: int
     segment: int
-    offset: int  # in bytes, within the segment
+    at: int  # in bytes, within the segment
     count: int  # number of records, -1: not known
     detail: str = ""
 
@@ -277,7 +277,7 @@
                 if closed:
                     entries.append(part)
                     return len(data)
-                return part.offset
+                return part.at
             entries.append(part)
             end = len(data)
         return end if end > start else start
