--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,7 +1,9 @@
-"""Fleets in virtual time, by the pure modules of `peers` alone: tables, and a chart beside them.
+"""Simulates fleets in virtual time with the sans-I/O modules of `peers` alone; prints tables and draws a
+chart.
 
-How it is called: `python -P benchmarks/peers.py [--most 1000] [--out FOLDER]`. The baseline `alone` sends no
-messages: breakers by themselves, fixed equal parts. Emulated figures, no bench's and no real fleet's.
+Usage: `python -P benchmarks/peers.py [--most 1000] [--out FOLDER]`; `--most` limits the number of gateways.
+The baseline `alone` sends no messages: each breaker decides by itself, and shares are equal and fixed. The
+figures are simulated, not measured on processes or on a real fleet.
 """
 
 from __future__ import annotations
@@ -22,38 +24,38 @@
 FAULTS = ("calm", "lost 30%", "lost 90%", "late 2 s", "split")
 
 
-def fleet(count: int, seed: int, fault: str, pieces: frozenset[str]) -> Fleet:
-    chance = random.Random(seed)
-    demands = [2 * chance.paretovariate(1.8) for _ in range(count)]
-    return Fleet(count, seed, demands=demands, links=faulty(fault, seed), pieces=pieces)
+def fleet(count: int, seed: int, fault: str, features: frozenset[str]) -> Fleet:
+    rng = random.Random(seed)
+    demands = [2 * rng.paretovariate(1.8) for _ in range(count)]
+    return Fleet(count, seed, demands=demands, links=faulty(fault, seed), features=features)
 
 
-def play(count: int, seed: int, fault: str, pieces: frozenset[str]) -> dict[str, float]:
-    """A source dies at 8 s and is well again at 18 s; 30 s in all."""
-    one = fleet(count, seed, fault, pieces)
-    one.watch_sums()
-    one.until(8 * S)
-    one.dead.add(0)
+def simulate(count: int, seed: int, fault: str, features: frozenset[str]) -> dict[str, float]:
+    """Simulates 30 s in which a source fails at 8 s and works again at 18 s; returns the measurements."""
+    run = fleet(count, seed, fault, features)
+    run.track_share_sums()
+    run.until(8 * S)
+    run.dead_sources.add(0)
     known, curve = 99.0, []
     for tenth in range(1, 101):
-        one.until(8 * S + tenth * S // 10)
-        curve.append(one.know(0))
+        run.until(8 * S + tenth * S // 10)
+        curve.append(run.open_fraction(0))
         if known == 99.0 and curve[-1] >= 0.9:
             known = tenth / 10
-    wasted, trials = one.wasted, len(one.trials)
-    fair = one.fairness()
-    one.dead.clear()
-    one.until(30 * S)
-    told = sum(gateway.bytes_out for gateway in one.gateways) / count / 30
+    wasted, trials = run.wasted_fills, len(run.trials)
+    fair = run.fairness()
+    run.dead_sources.clear()
+    run.until(30 * S)
+    bytes_per_second = sum(gateway.bytes_out for gateway in run.gateways) / count / 30
     return {
         "known": known,
         "at 10 s": curve[-1],
         "wasted": wasted / count,
         "trials": trials / count,
-        "bytes": told,
-        "sum": max(one.worst.values()),
+        "bytes": bytes_per_second,
+        "sum": max(run.max_share_sum.values()),
         "fair": fair,
-        "open at 30 s": one.know(0),
+        "open at 30 s": run.open_fraction(0),
     }
 
 
@@ -68,19 +70,21 @@
     rows = []
     for count in (n for n in (20, 200, 1000, 5000) if n <= chosen.most):
         for fault in FAULTS if count <= 200 else FAULTS[:2]:
-            for how, pieces in (("peers", frozenset(PIECES)), ("alone", frozenset[str]())):
+            for how, features in (("peers", frozenset(PIECES)), ("alone", frozenset[str]())):
                 began = time.monotonic()
-                found = [play(count, seed, fault, pieces) for seed in (SEEDS if count < 1000 else SEEDS[:1])]
-                mean = {name: sum(one[name] for one in found) / len(found) for name in names}
-                mean["sum"] = max(one["sum"] for one in found)
+                found = [
+                    simulate(count, seed, fault, features) for seed in (SEEDS if count < 1000 else SEEDS[:1])
+                ]
+                mean = {name: sum(run[name] for run in found) / len(found) for name in names}
+                mean["sum"] = max(run["sum"] for run in found)
                 rows.append((count, fault, how, mean))
                 print(f"{count:8} {fault:9} {how:6} " + " ".join(f"{mean[name]:12.3f}" for name in names)
                       + f"   {time.monotonic() - began:.0f} s", flush=True)  # fmt: skip
     print("\nsubsets: gateways, sources, most and least of one, share moved by one more")
     for count, sources in ((20, 40), (200, 200), (1000, 200)):
-        places, listed = list(range(count)), list(range(7000, 7000 + sources))
-        most, least = subsets.spread(places, listed, 3)
-        before, after = (subsets.assigned(list(range(n)), listed, 3) for n in (count, count + 1))
+        gateways, listed = list(range(count)), list(range(7000, 7000 + sources))
+        most, least = subsets.load_range(gateways, listed, 3)
+        before, after = (subsets.assign(list(range(n)), listed, 3) for n in (count, count + 1))
         moved = sum(len(set(before[s]) - set(after[s])) for s in listed) / (3 * sources)
         print(f"{count:8} {sources:6} {most:4} {least:4} {moved:8.3f}")
     if chosen.out is not None:
--- a/damsonstream/peers/council.py
+++ b/damsonstream/peers/council.py
@@ -1,12 +1,14 @@
-"""One gateway among its peers: members, evidence, turns, shares and what is told of them. No I/O.
+"""One gateway's part in the decisions of the fleet: membership, shared evidence, trials, shares of caps, and
+the gossip that carries them. No I/O.
 
-How it is called: the router asks `turn`, `part` and tells `asked`, `saw`, `trying`, `tried`, `listed`, `anew`
-(`routing/interface.py`, Fleet). Around it, `heard(now, place, data)` takes a datagram from the address of
-that place in the list of peers (below zero: from none of them), `due(now)` gives those to send, and both
-give what the router is to be told. Times are whole tenths of a millisecond of this gateway's own clock; none
-of another's clock is ever compared with it.
+Usage: the router calls `turn` and `part` for decisions, and `asked`, `saw`, `trying`, `tried`, `listed` and
+`anew` to report events (`routing/interface.py`, Fleet). The transport passes each datagram to `receive(now,
+sender, data)`, where `sender` is the index of its source address in the list of peers (negative: not in the
+list), and calls `poll(now)` every GOSSIP_INTERVAL for the datagrams to send. Both return verdicts for the
+router. Times are whole tenths of a millisecond of this gateway's own clock, and are never compared with
+another gateway's clock.
 
-With `pieces` each part can be switched off: what is asked then is answered as if no message ever came.
+Each of `features` can be switched off. Decisions are then made as if no message had ever come.
 """
 
 from __future__ import annotations
@@ -20,304 +22,353 @@
 
 from damsonstream.peers import order, wire
 from damsonstream.peers.evidence import Evidence
-from damsonstream.peers.members import PERIOD, Members
+from damsonstream.peers.members import HEARTBEAT_INTERVAL, Membership
 from damsonstream.peers.pieces import PIECES
 from damsonstream.peers.shares import Shares
-from damsonstream.peers.spread import Spread
-from damsonstream.peers.subsets import assigned
-from damsonstream.peers.turns import Turns
+from damsonstream.peers.spread import Gossip
+from damsonstream.peers.subsets import assign
+from damsonstream.peers.turns import TrialSchedule
 from damsonstream.routing.interface import PeersTold
-from damsonstream.routing.router import digest as hashed
+from damsonstream.routing.router import digest as router_digest
 
 if TYPE_CHECKING:
     from damsonstream.tiers.verdicts import Verdict, Verdicts
 
-S = 10_000
-TURN = S // 10  # between datagrams of news: a way through 200 gateways is some six of them
-FANOUT = 2  # others told in a turn: with the repeats of peers/spread.py all but one in a thousand hear of it
-HELLO = 4  # others that one which starts tells of itself, besides its neighbours
-HELLO_FOR = 5 * S  # while one starts, what it knows of others rides along: who is where
-RIDES, RIDER = 4, 24  # beats of others in such a datagram, and the bytes of one at most
-KNOWN = 2 * S  # before, nobody can say what a gateway that starts is asked for: it tells none
-HEAD = 40  # bytes of a datagram without items, at most
-WATCH = 3  # gateways that look after one cache or source, from whom its trials come: two may be silent
-STALLED = 5 * TURN  # without a turn of its own: this process stood still, and what waits in its socket is old
-OLD = 2 * TURN  # after such a standstill, for which what comes is counted as old and not believed
-AHEAD = 864_000  # of one's own boot, a day in tenths of a second: a later one is nonsense
-
-
-MOST = 0.5  # share of a zone's hubs that must be dead: under it the others carry on (tiers/zones.py)
+S = 10_000  # clock ticks (0.1 ms) per second
+TURN = S // 10  # between rounds of gossip; an item passes through 200 gateways in about six rounds
+# Peers that receive gossip in a round; with the repeats of peers/gossip.py an item reaches all but one in a
+# thousand.
+FANOUT = 2
+JOIN_FANOUT = 4  # other gateways, besides the neighbors, to which a starting gateway sends its heartbeat
+# after a start, during which heartbeats carry more relayed ones, so that others are known soon
+JOIN_PERIOD = 5 * S
+JOIN_RELAYED, MAX_HEARTBEAT_BYTES = 4, 24  # relayed heartbeats per datagram then, and the size limit of each
+DEMAND_WARMUP = 2 * S  # after a start, until the demand can be measured; none is reported before
+MAX_HEADER_BYTES = 40  # of a datagram without items
+# Gateways that watch a source or cache and run its trials: two of them may be silent.
+WATCHERS = 3
+# If `poll` was not called for this long, the process had stalled, and datagrams waiting in its socket are
+# old.
+STALL_THRESHOLD = 5 * TURN
+STALL_DISCARD = 2 * TURN  # after a stall, datagrams are discarded as old for this long
+# How far a boot may be ahead of this gateway's, in tenths of a second (a day); later ones are invalid.
+MAX_BOOT_LEAD = 864_000
+
+
+# A zone counts as dead if more than this fraction of its hubs is; else the others carry on (tiers/zones.py).
+DEAD_HUBS_FRACTION = 0.5
 
 
 def digest(name: str) -> int:
-    """A zone's name in 32 bits, the same at every gateway."""
+    """Returns the 32-bit hash of a zone's name, the same on all gateways."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 def source_id(name: str) -> int:
-    """A source's name in 32 bits, as the router has it."""
-    return hashed(name) & 0xFFFFFFFF
+    """Returns the 32-bit hash of a source's name: the low bits of the router's hash."""
+    return router_digest(name) & 0xFFFFFFFF
 
 
 class Council:
+    """The state of one gateway in the fleet."""
+
     def __init__(
-        self, name: str, me: int, told: int, here: int, at_home: int, boot: int, price: float, seed: int,
-        now: int, pieces: frozenset[str] = frozenset(PIECES),
+        self, name: str, own_index: int, fleet_size: int, location: int, location_size: int, boot: int,
+        message_cost: float, seed: int,
+        now: int, features: frozenset[str] = frozenset(PIECES),
     ) -> None:  # fmt: skip
-        """`me`: place in the list of peers; `told`, `at_home`: gateways of the fleet and of this location, as
-        told; `here`: this location's place; `price`: as peers/spread.py has it."""
-        self.name, self.me, self.here, self.pieces = name, me, here, pieces
-        self.chance = random.Random(seed)
-        self.members = Members(me, boot, told, now)
-        self.evidence, self.turns = Evidence(me, told), Turns(me)
-        alone = "shares" not in pieces
-        self.near = Shares(me, here, at_home, now, alone)
-        self.far = Shares(me, wire.EVERYWHERE, told, now, alone, self.near.gets)
-        self.spread = Spread(price, now)
-        self.spread.count = told
-        self.heard_of: dict[int, wire.Seen64] = {}  # by place: which datagrams came; as long as the list
-        self.names: dict[str, int] = {name: me}  # places by name; each name has one
-        self.later: list[tuple[int, int]] = []  # when, source: returns that are due; emptied by time
-        self.opened: set[int] = set()  # sources told dead; emptied as they are no longer
-        self.agreed: dict[int, int] = {}  # since when; until one is seen well, runs anew or leaves the list
-        # sources opened here on others' words alone: own sight outweighs them, each is tried by oneself once
-        self.on_words: set[int] = set()  # emptied by own ends there, and as the list drops them
-        self.private: list[tuple[int, wire.Ask | wire.Grant]] = []  # to whom; emptied each turn
-        # who looks after a source, of this location and of all; made anew as the lists change
+        """`own_index`: in the list of peers; `fleet_size`, `location_size`: configured numbers of gateways,
+        of the fleet and of this location; `location`: index of this location; `message_cost`: as for
+        Gossip."""
+        self.name, self.own_index, self.location, self.features = name, own_index, location, features
+        self.rng = random.Random(seed)
+        self.members = Membership(own_index, boot, fleet_size, now)
+        self.evidence, self.trials = Evidence(own_index, fleet_size), TrialSchedule(own_index)
+        static = "shares" not in features
+        self.near = Shares(own_index, location, location_size, now, static)
+        self.far = Shares(own_index, wire.ALL_LOCATIONS, fleet_size, now, static, self.near.get_times)
+        self.gossip = Gossip(message_cost, now)
+        self.gossip.fleet_size = fleet_size
+        # by peer; limited by the list of peers
+        self.replay_windows: dict[int, wire.ReplayWindow] = {}
+        self.index_by_name: dict[str, int] = {name: own_index}  # each name belongs to one index
+        self.pending_closes: list[tuple[int, int]] = []  # heap of (when to close, source); emptied by time
+        # sources reported dead to the router; emptied as the verdict ends
+        self.reported_dead: set[int] = set()
+        # by source; until it succeeds, restarts or leaves the list
+        self.dead_since: dict[int, int] = {}
+        # Sources whose breaker opened here on other gateways' reports alone. Own outcomes outweigh reports,
+        # so this gateway tries each of them itself once. Emptied by own trials, and as the list drops
+        # sources.
+        self.opened_by_peers: set[int] = set()
+        # receiver, item; emptied at each poll
+        self.direct_items: list[tuple[int, wire.LeaseRequest | wire.Grant]] = []
+        # By `in_location`: the sources, and their watchers, which are computed again when lists change.
         self.sources: dict[bool, tuple[int, ...]] = {True: (), False: ()}
-        self.watch: dict[bool, tuple[tuple[int, ...], dict[int, list[int]]]] = {}
-        self.number, self.begun, self.ticked, self.beat_at, self.woken = 0, now, now, now, -S
+        self.assignments: dict[bool, tuple[tuple[int, ...], dict[int, list[int]]]] = {}
+        self.sequence, self.started_at, self.polled_at, self.next_heartbeat_at, self.resumed_at = (
+            0, now, now, now, -S,
+        )  # fmt: skip
         self.counted: Counter[str] = Counter()
-        self.zones: Verdicts | None = None  # None: none are followed
+        self.zones: Verdicts | None = None  # None: no zones are followed
         self.zone_names: dict[int, str] = {}  # by hash
-        # told of each trial that this gateway makes: when, the source, and begun, good or bad
+        # called for each trial of this gateway: time, source, and `begun`, `good` or `bad`
         self.on_turn: Callable[[int, int, str], None] = lambda now, source, state: None
 
-    # what the router asks and tells
+    # calls of the router
 
     def asked(self, now: int) -> None:
-        self.near.asked(now)
+        """Counts a GET."""
+        self.near.record_get(now)
 
-    def saw(self, now: int, source: int, home: bool, bad: bool) -> None:
-        if "evidence" in self.pieces:
-            self.evidence.saw(now, source, self.whose(home), bad)
+    def saw(self, now: int, source: int, in_location: bool, failed: bool) -> None:
+        """Records how a forward ended, as its breaker was notified. `in_location`: the source is of this
+        location, and concerns only its gateways."""
+        if "evidence" in self.features:
+            self.evidence.record_outcome(now, source, self.audience(in_location), failed)
 
     def anew(self, source: int) -> None:
-        """It is a new process: what was seen of the old one says nothing."""
-        self.on_words.discard(source)
-        self.forget(source)
+        """Drops what is known of a source that runs as a new process."""
+        self.opened_by_peers.discard(source)
+        self.clear_source(source)
 
-    def forget(self, source: int) -> None:
-        """What was seen and told of it, by anyone."""
+    def clear_source(self, source: int) -> None:
+        """Drops all reports and verdicts on a source."""
         self.evidence.clear(source)
-        self.opened.discard(source)
-        self.agreed.pop(source, None)
+        self.reported_dead.discard(source)
+        self.dead_since.pop(source, None)
 
-    def whose(self, home: bool) -> int:
-        """Whom news of a source concerns: gateways of this location, or all."""
-        return self.here if home else wire.EVERYWHERE
+    def audience(self, in_location: bool) -> int:
+        """Returns the location whose gateways are concerned by items on a source."""
+        return self.location if in_location else wire.ALL_LOCATIONS
 
-    def turn(self, now: int, source: int, home: bool, since: int) -> bool:
-        """Whether this gateway is the one to try it now; `since`: when its own cool-down was over."""
-        if "turns" not in self.pieces or source in self.on_words:
+    def turn(self, now: int, source: int, in_location: bool, cooldown_end: int) -> bool:
+        """Returns whether this gateway may run a trial now; `cooldown_end`: when its own cooldown ended."""
+        if "turns" not in self.features or source in self.opened_by_peers:
             return True
-        return self.turns.mine(now, source, since, self.candidates(now, source, home))
+        return self.trials.may_try(now, source, cooldown_end, self.trial_candidates(now, source, in_location))
 
-    def trying(self, now: int, source: int, home: bool) -> None:
+    def trying(self, now: int, source: int, in_location: bool) -> None:
+        """Announces a trial that begins here."""
         self.on_turn(now, source, "begun")
-        if "turns" in self.pieces:
-            word = self.turns.began(now, source, self.whose(home), self.members.boot)
-            if word is not None:
-                self.spread.tell(now, word)
-
-    def tried(self, now: int, source: int, home: bool, good: bool) -> None:
-        self.on_turn(now, source, "good" if good else "bad")
-        self.on_words.discard(source)
-        if good:
-            self.forget(source)
-        if "turns" in self.pieces:
-            word = self.turns.ended(now, source, self.whose(home), self.members.boot, good)
-            if word is not None:
-                self.spread.tell(now, word)
-
-    def part(self, now: int, home: bool) -> float:
-        return (self.near if home else self.far).part(now)
-
-    # who they are
-
-    def places(self, home: bool) -> list[int]:
-        """All gateways of the fleet, or those known to be of this location, this one included."""
-        if not home:
-            return list(range(self.members.told))
+        if "turns" in self.features:
+            message = self.trials.begin(now, source, self.audience(in_location), self.members.boot)
+            if message is not None:
+                self.gossip.publish(now, message)
+
+    def tried(self, now: int, source: int, in_location: bool, succeeded: bool) -> None:
+        """Publishes the result of a trial that ended here."""
+        self.on_turn(now, source, "good" if succeeded else "bad")
+        self.opened_by_peers.discard(source)
+        if succeeded:
+            self.clear_source(source)
+        if "turns" in self.features:
+            message = self.trials.finish(
+                now, source, self.audience(in_location), self.members.boot, succeeded
+            )
+            if message is not None:
+                self.gossip.publish(now, message)
+
+    def part(self, now: int, in_location: bool) -> float:
+        """Returns this gateway's fraction of the caps of its location or of the fleet."""
+        return (self.near if in_location else self.far).fraction(now)
+
+    # groups of gateways
+
+    def gateways(self, in_location: bool) -> list[int]:
+        """Returns all gateways of the fleet, or those known to be of this location, this one included."""
+        if not in_location:
+            return list(range(self.members.fleet_size))
         others = self.members.others
-        return sorted([self.me, *(place for place, one in others.items() if one.location == self.here)])
+        return sorted(
+            [self.own_index, *(peer for peer, one in others.items() if one.location == self.location)]
+        )
 
-    def looked_after(self, source: int, home: bool) -> list[int]:
-        """The gateways that look after it; empty: all alike."""
-        if "subsets" not in self.pieces:
+    def watchers(self, source: int, in_location: bool) -> list[int]:
+        """Returns the gateways that watch a source; empty: all alike."""
+        if "subsets" not in self.features:
             return []
-        places = tuple(self.places(home))
-        of, watch = self.watch.get(home, ((), {}))
-        if of != places:
-            watch = assigned(places, self.sources[home], WATCH)
-            self.watch[home] = places, watch
-        return watch.get(source) or order.first(places, source, WATCH)
+        gateways = tuple(self.gateways(in_location))
+        assigned_to, assignment = self.assignments.get(in_location, ((), {}))
+        if assigned_to != gateways:
+            assignment = assign(gateways, self.sources[in_location], WATCHERS)
+            self.assignments[in_location] = gateways, assignment
+        return assignment.get(source) or order.select(gateways, source, WATCHERS)
 
     def keeps(self, source: int) -> bool:
-        """Whether this gateway looks after a cache of its location, and so keeps connections to it."""
-        return self.me in (self.looked_after(source, True) or [self.me])
-
-    def candidates(self, now: int, source: int, home: bool) -> list[int]:
-        """From whom a source's trials come: those that look after it, as far as they live."""
-        places = self.looked_after(source, home) or self.places(home)
-        if "members" in self.pieces:
-            places = self.members.living(now, places) or [self.me]
-        return places
-
-    def listed(self, home: tuple[int, ...], far: tuple[int, ...]) -> None:
-        """The sources of the list, of this location and of all: who looks after which is shared anew."""
-        for at_home, sources in ((True, home), (False, far)):
-            if self.sources[at_home] != sources:
-                self.sources[at_home] = sources
-                self.on_words.intersection_update((*home, *far))
-                self.agreed = {s: at for s, at in self.agreed.items() if s in home or s in far}
-                self.watch.pop(at_home, None)
-
-    def resize(self, now: int, told: int, at_home: int) -> None:
-        self.members.resize(now, told)
-        self.near.resize(now, at_home)
-        self.far.resize(now, told)
-        self.spread.count = told
-        self.heard_of = {place: seen for place, seen in self.heard_of.items() if place < told}
-        self.names = {name: place for name, place in self.names.items() if place < told}
+        """Returns whether this gateway watches a cache of its location, and so keeps connections to it."""
+        return self.own_index in (self.watchers(source, True) or [self.own_index])
+
+    def trial_candidates(self, now: int, source: int, in_location: bool) -> list[int]:
+        """Returns the gateways that may run a source's trials: its watchers that are alive."""
+        gateways = self.watchers(source, in_location) or self.gateways(in_location)
+        if "members" in self.features:
+            gateways = self.members.alive(now, gateways) or [self.own_index]
+        return gateways
+
+    def listed(self, location_sources: tuple[int, ...], all_sources: tuple[int, ...]) -> None:
+        """Sets the sources of the list, of this location and of all; their watchers are assigned again."""
+        for in_location, sources in ((True, location_sources), (False, all_sources)):
+            if self.sources[in_location] != sources:
+                self.sources[in_location] = sources
+                self.opened_by_peers.intersection_update((*location_sources, *all_sources))
+                self.dead_since = {
+                    s: at for s, at in self.dead_since.items() if s in location_sources or s in all_sources
+                }
+                self.assignments.pop(in_location, None)
+
+    def resize(self, now: int, fleet_size: int, location_size: int) -> None:
+        """Sets the configured numbers of gateways."""
+        self.members.resize(now, fleet_size)
+        self.near.resize(now, location_size)
+        self.far.resize(now, fleet_size)
+        self.gossip.fleet_size = fleet_size
+        self.replay_windows = {
+            peer: window for peer, window in self.replay_windows.items() if peer < fleet_size
+        }
+        self.index_by_name = {name: peer for name, peer in self.index_by_name.items() if peer < fleet_size}
 
     # datagrams
 
-    def heard(self, now: int, place: int, data: bytes) -> list[PeersTold]:
-        """A datagram; whatever it holds, it costs bounded work and is counted."""
-        if self.stood_still(now):
+    def heard(self, now: int, sender: int, data: bytes) -> list[PeersTold]:
+        """Handles a datagram; returns verdicts for the router. Any input takes bounded work and is counted:
+        under `heard`, or under the reason why it is dropped. `old`: it waited while this process stalled;
+        `long`, `form`, `garbled`: not decodable (wire.py); `foreign`: not sent from the address of its
+        sender; `twin`: two peers use one name; `repeated`: a duplicate, or of an earlier boot; `nonsense`: an
+        item's boot is far in the future."""
+        if self.recently_stalled(now):
             self.counted["old"] += 1
             return []
         try:
             datagram = wire.read(data)
-        except wire.Unreadable as fault:
-            self.counted[str(fault)] += 1
+        except wire.Unreadable as error:
+            self.counted[str(error)] += 1
             return []
-        if not 0 <= place < self.members.told or datagram.place != place or place == self.me:
+        if not 0 <= sender < self.members.fleet_size or datagram.sender != sender or sender == self.own_index:
             self.counted["foreign"] += 1
             return []
-        if self.names.setdefault(datagram.name, place) != place:
+        if self.index_by_name.setdefault(datagram.name, sender) != sender:
             self.counted["twin"] += 1
             return []
-        if len(self.names) > 2 * self.members.told:  # names that come and go: begun anew
-            self.names = {self.name: self.me}
-        if not self.heard_of.setdefault(place, wire.Seen64()).fresh(datagram.boot, datagram.number):
+        if len(self.index_by_name) > 2 * self.members.fleet_size:  # names keep changing: start again
+            self.index_by_name = {self.name: self.own_index}
+        if not self.replay_windows.setdefault(sender, wire.ReplayWindow()).accept(
+            datagram.boot, datagram.sequence
+        ):
             self.counted["repeated"] += 1
             return []
         self.counted["heard"] += 1
-        self.members.anyone(now)
-        told: list[PeersTold] = []
+        self.members.datagram_received(now)
+        verdicts: list[PeersTold] = []
         for item in datagram.items:
-            if isinstance(item, (wire.Beat, wire.Doubt, wire.Seen, wire.Trial)) and (
-                item.boot > self.members.boot + AHEAD
+            if isinstance(item, (wire.Heartbeat, wire.Doubt, wire.OutcomeReport, wire.Trial)) and (
+                item.boot > self.members.boot + MAX_BOOT_LEAD
             ):
                 self.counted["nonsense"] += 1
                 continue
-            told += self.take(now, place, item)
-        return told
+            verdicts += self.handle_item(now, sender, item)
+        return verdicts
 
-    def take(self, now: int, place: int, item: wire.Item) -> list[PeersTold]:
+    def handle_item(self, now: int, sender: int, item: wire.Item) -> list[PeersTold]:
+        """Handles one item; returns verdicts for the router."""
         match item:
-            case wire.Beat():
-                doubted = item.by in self.members.silences
-                news = self.members.heard(now, item, direct=item.by == place)
-                if item.by != place or doubted:  # one that was doubted and answers is news for all
-                    self.spread.heard(now, wire.Beat(item.by, item.boot, item.beat, item.location,
-                                                     item.demand), news and doubted)  # fmt: skip
+            case wire.Heartbeat():
+                was_suspected = item.by in self.members.silences
+                is_news = self.members.receive_heartbeat(now, item, direct=item.by == sender)
+                if item.by != sender or was_suspected:  # a refuted suspicion is news for all
+                    # relayed without its echo, which is for one receiver only
+                    self.gossip.receive(
+                        now,
+                        wire.Heartbeat(item.by, item.boot, item.sequence, item.location, item.demand),
+                        is_news and was_suspected,
+                    )
             case wire.Doubt():
-                mine = self.members.beat
-                self.spread.heard(now, item, self.members.doubted(now, item))
-                if self.members.beat > mine:
-                    self.spread.tell(now, self.own_beat(now))
-            case wire.Seen():
-                if "evidence" in self.pieces and item.location in (self.here, wire.EVERYWHERE):
-                    settled = self.evidence.settled(now, item)
-                    self.spread.heard(now, item, self.evidence.heard(now, item) and not settled)
+                sequence = self.members.sequence
+                self.gossip.receive(now, item, self.members.receive_suspicion(now, item))
+                if self.members.sequence > sequence:
+                    self.gossip.publish(now, self.own_heartbeat(now))
+            case wire.OutcomeReport():
+                if "evidence" in self.features and item.location in (self.location, wire.ALL_LOCATIONS):
+                    agreed = self.evidence.already_agreed(now, item)
+                    self.gossip.receive(now, item, self.evidence.receive(now, item) and not agreed)
             case wire.Trial():
-                if "turns" in self.pieces and item.location in (self.here, wire.EVERYWHERE):
-                    news, shows = self.turns.heard(now, item)
-                    self.spread.heard(now, item, news)
-                    return self.shown(now, item.source, shows)
+                if "turns" in self.features and item.location in (self.location, wire.ALL_LOCATIONS):
+                    is_news, outcome = self.trials.receive(now, item)
+                    self.gossip.receive(now, item, is_news)
+                    return self.apply_trial_outcome(now, item.source, outcome)
             case wire.Zone():
-                if (verdict := self.verdict(item)) is not None and self.zones is not None:
-                    self.spread.heard(now, item, self.zones.heard(verdict, now / S))
-            case wire.Ask():
-                lender = self.near if item.scope == self.here else self.far
-                if (grant := lender.grant(now, place, item)) is not None:
-                    self.private.append((place, grant))
+                if (verdict := self.zone_verdict(item)) is not None and self.zones is not None:
+                    self.gossip.receive(now, item, self.zones.heard(verdict, now / S))
+            case wire.LeaseRequest():
+                shares = self.near if item.scope == self.location else self.far
+                if (grant := shares.grant(now, sender, item)) is not None:
+                    self.direct_items.append((sender, grant))
             case wire.Grant():
-                (self.near if item.scope == self.here else self.far).lent(now, place, item)
+                (self.near if item.scope == self.location else self.far).receive_grant(now, sender, item)
         return []
 
-    def shown(self, now: int, source: int, shows: str) -> list[PeersTold]:
-        """What a trial of another means for this gateway: at once, or as it is its turn to come back."""
-        if shows in ("good", "well"):
-            self.forget(source)
-        if shows == "well":
-            self.on_words.discard(source)
-            heappush(self.later, (now + self.turns.back(source), source))
+    def apply_trial_outcome(self, now: int, source: int, outcome: str) -> list[PeersTold]:
+        """Returns the verdict for the router on a trial of another gateway. Enough successes close the
+        breaker later, after this gateway's delay."""
+        if outcome in ("good", "well"):
+            self.clear_source(source)
+        if outcome == "well":
+            self.opened_by_peers.discard(source)
+            heappush(self.pending_closes, (now + self.trials.close_delay(source), source))
             return []
-        return [PeersTold(source, shows)] if shows and source not in self.on_words else []
+        return [PeersTold(source, outcome)] if outcome and source not in self.opened_by_peers else []
 
     # zones
 
     def follow(self, now: int, zones: Mapping[str, float]) -> None:
-        """From now on what is believed of these zones, with the seconds of each one's return, is told and
-        heard."""
-        from damsonstream.tiers.verdicts import Verdicts  # its libraries load only where zones are followed
+        """Follows these zones from now on; `zones`: the seconds that each one's return takes, by name."""
+        # its dependencies load only where zones are followed
+        from damsonstream.tiers.verdicts import Verdicts
 
         if self.zones is None:
-            self.zones = Verdicts.of(zones, now / S, self.members.told)
+            self.zones = Verdicts.of(zones, now / S, self.members.fleet_size)
         self.zones.follow(zones, now / S)
         self.zone_names = {digest(name): name for name in self.zones.beliefs}
 
     def zone_saw(
         self, now: int, zone: str, failing: bool, own: bool, answered: bool, hubs: Sequence[str] = ()
     ) -> None:
-        """What this gateway's hubs of a zone do: most of them are Open here (`failing`); since the last word
-        one failed here (`own`), or gave something (`answered`). `hubs`: their names."""
+        """Records the state of a zone's hubs at this gateway. `failing`: the breakers of most of them are
+        Open here; `own`, `answered`: since the last call one of them failed here, or gave something; `hubs`:
+        their names."""
         if self.zones is None:
             return
         source = digest(zone)
-        if answered or (failing and own):  # what fails in part is its hubs' breakers' matter
-            self.evidence.saw(now, source, wire.EVERYWHERE, not answered)
-        back = self.zones.beliefs[zone].back_at * S
-        well, agree = self.evidence.tally(now, source)
-        since = [self.agreed.get(source_id(hub), -1) > back for hub in hubs]
-        dead = sum(since) > MOST * len(hubs)
-        self.zones.sees(zone, failing, agree, well, now / S, answered, own, dead)
+        if answered or (failing and own):  # partial failure is left to the breakers of the hubs
+            self.evidence.record_outcome(now, source, wire.ALL_LOCATIONS, not answered)
+        return_began = self.zones.beliefs[zone].back_at * S
+        succeeding, failing_elsewhere = self.evidence.count_reporters(now, source)
+        since = [self.dead_since.get(source_id(hub), -1) > return_began for hub in hubs]
+        dead = sum(since) > DEAD_HUBS_FRACTION * len(hubs)
+        self.zones.sees(zone, failing, failing_elsewhere, succeeding, now / S, answered, own, dead)
         if answered or own:
             self.zones.tried(zone, answered, now / S)
 
     def dead(self, hub: str) -> bool:
-        """Whether enough gateways saw nothing but bad ends of it, and none an answer since."""
-        return source_id(hub) in self.agreed
+        """Returns whether enough gateways had failures only with a hub, and none a success since."""
+        return source_id(hub) in self.dead_since
 
     def zone_carries(self, now: int, zone: str) -> float:
-        """Share of its own objects that a zone's hubs are asked for."""
+        """Returns the share of its own objects that a zone's hubs are asked for."""
         if self.zones is None:
             return 1.0
-        return self.zones.carries(zone, now / S, self.members.hears_nobody(now))
+        return self.zones.carries(zone, now / S, self.members.isolated(now))
 
     def zone_state(self, now: int, zone: str) -> tuple[str, int, int]:
-        """What is believed of it: state, twentieths of a return, flaps."""
+        """Returns the state of a zone, the progress of its return in twentieths, and its number of flaps."""
         if self.zones is None or zone not in self.zones.beliefs:
             return "Well", 0, 0
         verdict = self.zones.beliefs[zone].verdict
-        state = self.zones.state(zone, now / S, self.members.hears_nobody(now))
+        state = self.zones.state(zone, now / S, self.members.isolated(now))
         return state, verdict.progress, verdict.flaps
 
-    def verdict(self, item: wire.Zone) -> Verdict | None:
+    def zone_verdict(self, item: wire.Zone) -> Verdict | None:
+        """Returns the verdict that an item carries, None for unknown zones."""
         from damsonstream.tiers.verdicts import BY_CARE, Verdict
 
         name = self.zone_names.get(item.zone)
@@ -325,142 +376,164 @@
             return None
         return Verdict(name, item.epoch, item.step, BY_CARE[item.state], item.progress, item.flaps)
 
-    def tell_zones(self, now: int) -> None:
+    def publish_zones(self, now: int) -> None:
+        """Publishes the verdicts on zones that are due."""
         from damsonstream.tiers.verdicts import CARE
 
         if self.zones is None:
             return
-        for one in self.zones.look(now / S, self.members.hears_nobody(now)):
-            word = wire.Zone(digest(one.zone), one.epoch, one.step, CARE[one.state], one.progress, one.flaps)
-            self.spread.tell(now, word)
+        for verdict in self.zones.look(now / S, self.members.isolated(now)):
+            update = wire.Zone(digest(verdict.zone), verdict.epoch, verdict.step, CARE[verdict.state],
+                               verdict.progress, verdict.flaps)  # fmt: skip
+            self.gossip.publish(now, update)
 
-    def own_beat(self, now: int, echo: int = 0) -> wire.Beat:
+    def own_heartbeat(self, now: int, echo: int = 0) -> wire.Heartbeat:
+        """Returns this gateway's heartbeat; `echo`: the receiver's last sequence number that came here."""
         members = self.members
-        known = now - self.begun > KNOWN
-        demand = min(0xFFFFFFFF, max(1, int(self.far.demand(now) * 100))) if known else 0
-        return wire.Beat(self.me, members.boot, members.beat, self.here, demand, echo)
+        warmed_up = now - self.started_at > DEMAND_WARMUP
+        demand = min(0xFFFFFFFF, max(1, int(self.far.demand(now) * 100))) if warmed_up else 0
+        return wire.Heartbeat(self.own_index, members.boot, members.sequence, self.location, demand, echo)
 
-    def stood_still(self, now: int) -> bool:
-        """Whether this process stood still until just now: what waits in its socket is from before."""
-        if now - self.ticked > STALLED:
-            self.woken = now
-        return now - self.woken < OLD
+    def recently_stalled(self, now: int) -> bool:
+        """Returns whether this process stalled until just now, so that what waits in its socket is old."""
+        if now - self.polled_at > STALL_THRESHOLD:
+            self.resumed_at = now
+        return now - self.resumed_at < STALL_DISCARD
 
     def due(self, now: int) -> tuple[list[tuple[int, bytes]], list[PeersTold]]:
-        """Once a TURN: datagrams to send, by place, and what the router is to hear."""
-        self.stood_still(now)
-        self.ticked = now
-        told = self.verdicts(now)
+        """Called every GOSSIP_INTERVAL. Returns the datagrams to send, by peer, and verdicts for the
+        router."""
+        self.recently_stalled(now)
+        self.polled_at = now
+        verdicts = self.due_verdicts(now)
         out: list[tuple[int, bytes]] = []
-        if "members" in self.pieces:
-            for doubt in self.members.tick(now):
-                self.spread.tell(now, doubt)
-        if "evidence" in self.pieces:
-            for seen in self.evidence.news(now, self.members.boot):
-                self.spread.tell(now, seen)
-        if now >= self.beat_at and not self.pieces.isdisjoint(("members", "shares")):
-            # not in step with those that started at the same time
-            self.beat_at = now + PERIOD - int(PERIOD / 8 * self.chance.random())
-            self.members.beat += 1
+        if "members" in self.features:
+            for suspicion in self.members.tick(now):
+                self.gossip.publish(now, suspicion)
+        if "evidence" in self.features:
+            for report in self.evidence.reports_due(now, self.members.boot):
+                self.gossip.publish(now, report)
+        if now >= self.next_heartbeat_at and not self.features.isdisjoint(("members", "shares")):
+            # jitter, so that gateways that started together don't send together
+            self.next_heartbeat_at = (
+                now + HEARTBEAT_INTERVAL - int(HEARTBEAT_INTERVAL / 8 * self.rng.random())
+            )
+            self.members.sequence += 1
             others = self.members.others.values()
-            self.far.others([one.demand for one in others if one.demand])
-            self.near.others([one.demand for one in others if one.demand and one.location == self.here])
-            for place in self.greeted(now):
-                known = self.members.others.get(place)
-                self.send(now, out, place, [self.own_beat(now, known.beat if known else 0)], -wire.MOST)
-        self.tell_zones(now)
-        if "shares" in self.pieces:
-            self.ask(now)
-        for place, item in self.private:
-            self.send(now, out, place, [item], wire.MOST)
-        self.private = []
-        for place in self.listeners(now):
-            if not self.spread.waiting:
+            self.far.set_peer_demands([one.demand for one in others if one.demand])
+            self.near.set_peer_demands(
+                [one.demand for one in others if one.demand and one.location == self.location]
+            )
+            for peer in self.heartbeat_targets(now):
+                member = self.members.others.get(peer)
+                self.send(now, out, peer, [self.own_heartbeat(now, member.sequence if member else 0)],
+                          -wire.MAX_DATAGRAM_BYTES)  # fmt: skip
+        self.publish_zones(now)
+        if "shares" in self.features:
+            self.request_shares(now)
+        for peer, item in self.direct_items:
+            self.send(now, out, peer, [item], wire.MAX_DATAGRAM_BYTES)
+        self.direct_items = []
+        for peer in self.gossip_targets(now):
+            if not self.gossip.queue:
                 break
-            self.send(now, out, place, [], 0)
-        return out, told
-
-    def greeted(self, now: int) -> list[int]:
-        """To whom a beat goes: the neighbours, and of one that starts a few others."""
-        places = list(self.members.watched)
-        if now - self.begun < PERIOD:
-            others = [place for place in range(self.members.told) if place not in (self.me, *places)]
-            places += self.chance.sample(others, min(HELLO, len(others)))
-        return places
-
-    def listeners(self, now: int) -> list[int]:
-        """Whom to tell what waits: one of this location, and one of all."""
-        found: list[int] = []
-        home = [place for place in self.places(True) if place != self.me]
-        for places in (home, [place for place in range(self.members.told) if place != self.me]):
-            living = self.members.living(now, places) if "members" in self.pieces else places
-            living = [place for place in living if place not in found]
+            self.send(now, out, peer, [], 0)
+        return out, verdicts
+
+    def heartbeat_targets(self, now: int) -> list[int]:
+        """Returns the receivers of a heartbeat: the neighbors, and just after a start a few others."""
+        targets = list(self.members.neighbors_heard_at)
+        if now - self.started_at < HEARTBEAT_INTERVAL:
+            others = [
+                peer for peer in range(self.members.fleet_size) if peer not in (self.own_index, *targets)
+            ]
+            targets += self.rng.sample(others, min(JOIN_FANOUT, len(others)))
+        return targets
+
+    def gossip_targets(self, now: int) -> list[int]:
+        """Returns the receivers of queued items: one gateway of this location, and one of the fleet."""
+        targets: list[int] = []
+        location_peers = [peer for peer in self.gateways(True) if peer != self.own_index]
+        for peers in (
+            location_peers,
+            [peer for peer in range(self.members.fleet_size) if peer != self.own_index],
+        ):
+            living = self.members.alive(now, peers) if "members" in self.features else peers
+            living = [peer for peer in living if peer not in targets]
             if living:
-                found.append(self.chance.choice(living))
-        return found[:FANOUT]
+                targets.append(self.rng.choice(living))
+        return targets[:FANOUT]
 
     def send(
-        self, now: int, out: list[tuple[int, bytes]], place: int, items: list[wire.Item], spare: int
+        self, now: int, out: list[tuple[int, bytes]], peer: int, items: list[wire.Item], reserve: int
     ) -> None:
-        """`spare`: bytes of the budget that are left for what is more urgent."""
-        known = self.members.others.get(place)
-        location = known.location if known is not None else -1
-        used = HEAD + sum(wire.size(item) for item in items)
-        allowed = min(wire.MOST, self.spread.room(now, max(self.far.usual, self.far.demand(now))) - spare)
+        """Sends the items, and queued ones as far as the budget allows. `reserve`: bytes of the budget to
+        leave for more urgent datagrams; negative: bytes that may be overdrawn."""
+        member = self.members.others.get(peer)
+        location = member.location if member is not None else -1
+        used = MAX_HEADER_BYTES + sum(wire.encoded_size(item) for item in items)
+        allowed = min(
+            wire.MAX_DATAGRAM_BYTES,
+            self.gossip.available_bytes(now, max(self.far.mean_demand, self.far.demand(now))) - reserve,
+        )
         if allowed < used:
             self.counted["held back"] += 1
             return
-        news = self.spread.load(now, allowed - used, location)
-        if not items and not news:
+        gossip = self.gossip.take_items(now, allowed - used, location)
+        if not items and not gossip:
             return
-        self.number += 1
-        left = allowed - used - sum(wire.size(item) for item in news)
-        beats = any(isinstance(item, wire.Beat) for item in items)
-        whole = [*items, *news, *(self.riders(now, place, left) if beats else [])]
-        data = wire.pack(wire.Datagram(wire.FORM, self.name, self.me, self.members.boot, self.number, whole))
-        self.spread.sent(len(data))
+        self.sequence += 1
+        left = allowed - used - sum(wire.encoded_size(item) for item in gossip)
+        has_heartbeat = any(isinstance(item, wire.Heartbeat) for item in items)
+        payload = [*items, *gossip, *(self.relayed_heartbeats(now, peer, left) if has_heartbeat else [])]
+        data = wire.encode(wire.Datagram(wire.FORMAT_VERSION, self.name, self.own_index, self.members.boot,
+                                         self.sequence, payload))  # fmt: skip
+        self.gossip.spend(len(data))
         self.counted["sent"] += 1
         self.counted["bytes"] += len(data)
-        out.append((place, data))
-
-    def riders(self, now: int, place: int, most: int) -> list[wire.Beat]:
-        """Another's beat goes along, as one starts a few: who is where, and what is asked of all."""
-        count = max(0, min(RIDES if now - self.begun < HELLO_FOR else 1, most // RIDER))
-        there = [one for one in self.members.others if one != place] if count > 0 else []
-        found = []
-        for one in self.chance.sample(there, min(count, len(there))):
-            member = self.members.others[one]
+        out.append((peer, data))
+
+    def relayed_heartbeats(self, now: int, receiver: int, max_bytes: int) -> list[wire.Heartbeat]:
+        """Returns heartbeats of other gateways to send along, one or, after a start, several: they spread the
+        locations and demands of the fleet."""
+        count = max(0, min(JOIN_RELAYED if now - self.started_at < JOIN_PERIOD else 1,
+                           max_bytes // MAX_HEARTBEAT_BYTES))  # fmt: skip
+        candidates = [peer for peer in self.members.others if peer != receiver] if count > 0 else []
+        heartbeats = []
+        for peer in self.rng.sample(candidates, min(count, len(candidates))):
+            member = self.members.others[peer]
             demand = min(0xFFFFFFFF, int(member.demand * 100))
-            found.append(wire.Beat(one, member.boot, member.beat, member.location, demand))
-        return found
-
-    def ask(self, now: int) -> None:
-        """Asks for more where this gateway is asked for more than its part."""
-        for shares, home in ((self.near, True), (self.far, False)):
-            others = [
-                (place, self.members.others[place].demand if place in self.members.others else -1.0)
-                for place in self.places(home)
-                if place != self.me
+            heartbeats.append(wire.Heartbeat(peer, member.boot, member.sequence, member.location, demand))
+        return heartbeats
+
+    def request_shares(self, now: int) -> None:
+        """Queues requests for larger shares where this gateway's demand exceeds its share."""
+        for shares, in_location in ((self.near, True), (self.far, False)):
+            candidates = [
+                (peer, self.members.others[peer].demand if peer in self.members.others else -1.0)
+                for peer in self.gateways(in_location)
+                if peer != self.own_index
             ]
-            self.chance.shuffle(others)
-            self.private += shares.asks(now, others)
-
-    def verdicts(self, now: int) -> list[PeersTold]:
-        told = []
-        while self.later and self.later[0][0] <= now:
-            told.append(PeersTold(heappop(self.later)[1], "well"))
-        if "evidence" not in self.pieces:
-            return told
-        for source in [s for s in self.evidence.bad_since if s not in self.zone_names]:
-            if self.evidence.verdict(now, source) == "dead" and source not in self.opened:
-                self.opened.add(source)
-                self.agreed[source] = now
-                if not self.evidence.bad_here(now, source):
-                    self.on_words.add(source)
-                told.append(PeersTold(source, "dead"))
-        self.opened.intersection_update(self.evidence.bad_since)
-        return told
+            self.rng.shuffle(candidates)
+            self.direct_items += shares.renewals_and_requests(now, candidates)
+
+    def due_verdicts(self, now: int) -> list[PeersTold]:
+        """Returns the verdicts for the router that are due now: breakers to close, and dead sources."""
+        verdicts = []
+        while self.pending_closes and self.pending_closes[0][0] <= now:
+            verdicts.append(PeersTold(heappop(self.pending_closes)[1], "well"))
+        if "evidence" not in self.features:
+            return verdicts
+        for source in [s for s in self.evidence.agreed_since if s not in self.zone_names]:
+            if self.evidence.verdict(now, source) == "dead" and source not in self.reported_dead:
+                self.reported_dead.add(source)
+                self.dead_since[source] = now
+                if not self.evidence.fails_locally(now, source):
+                    self.opened_by_peers.add(source)
+                verdicts.append(PeersTold(source, "dead"))
+        self.reported_dead.intersection_update(self.evidence.agreed_since)
+        return verdicts
 
     def counts(self) -> dict[str, int | str]:
-        """For the counters' line."""
+        """Returns the counters for the log, by their keys there."""
         return {f"peers.{name.replace(' ', '_')}": count for name, count in sorted(self.counted.items())}
--- a/damsonstream/peers/evidence.py
+++ b/damsonstream/peers/evidence.py
@@ -1,17 +1,19 @@
-"""What many gateways saw of a source or cache, merged without a coordinator. No I/O; time is handed in.
-
-How it is called: `saw(now, source, bad)` for each end of a forward that a breaker was told of; `heard(now,
-seen)` for what another tells; `news(now)` gives what others should know; `verdict(now, source)` is `dead` or
-nothing.
-
-What a gateway saw last of a source is one entry, (gateway, boot, number, good, bad): the bad ends in a
-row, or the good ones. A later number takes the place of an earlier one, so that entries may come in any
-order, twice or never. An entry fades with the window, a good one sooner; answers count only since the
-first bad end, since all have just seen it well as a source dies. Each counts once, whatever numbers it
-tells, and three gateways must agree: one with a broken link, or one that lies, opens no source for all;
-one that gets answers keeps it. Who has an answer of a source that others call dead says so, and what one
-has seen oneself outweighs all that is told: what is well for most and dead for me is my path's trouble,
-and stays with my own breaker. Once enough agree, nobody adds to it or passes more on.
+"""Outcomes of forwards to a source or cache, as many gateways report them, merged without a coordinator. No
+I/O; the caller passes the time.
+
+Usage: `record_outcome(now, source, location, failed)` for each finished forward that a breaker was notified
+of; `receive(now, report)` for a report of another gateway; `reports_due(now, boot)` returns the reports to
+publish; `verdict(now, source)` returns `dead` or an empty string.
+
+A gateway's report on a source is (gateway, boot, sequence, successes, failures): the latest run of failures
+in a row, or of successes. A later sequence number replaces an earlier one, so reports may come in any order,
+more than once or never. A report expires with the window, a success sooner. Successes count only since the
+first failure, since all gateways had successes just before a source died. Each gateway counts once, whatever
+numbers it reports, and three have to agree: one with a broken link, or one that reports falsely, opens no
+breaker elsewhere. One gateway with successes prevents the verdict. A gateway that has successes with a source
+that others call dead reports them, and its own outcomes outweigh all reports: a source that works for most
+gateways but not for this one has a problem on this gateway's path, which its own breaker handles. Once enough
+gateways agree, no further reports are sent or relayed.
 """
 
 from __future__ import annotations
@@ -23,200 +25,234 @@
 
 from damsonstream.peers import wire
 
-S = 10_000
-WINDOW = 3 * S  # as long as the breaker's own
-FRESH = S + S // 2  # for which an answer keeps a source for others: two fills of a gateway at full size
-MASK = (1 << 62) - 1  # later than any time
-LONG = 1 << 40  # before any time
-AGREE = 3  # gateways that saw nothing but bad ends
-KEEP = 1  # gateways that get answers: a source that fails in part is each breaker's own matter
-# For others to object, before it counts: a way round the fleet, and an answer at one that has heard of it.
-# With 0.6 s at 187 gateways parents that fail in half were opened by the hundreds (zone+mass).
-OBJECT, ROUND = 3 * S // 10, 3 * S // 20  # and so much more for each power of e of the fleet
-# Between the last good end here and the last bad one, before bad ones are told, or so many of them in a row
-# (the breaker's own least count). Between ends, not until now: a breaker that opened on half failures brings
-# no more ends, so that silence is no sign. Longer, and a busy gateway opens it alone first.
-LATELY, RUN = S, 5
-SOURCES, REPORTERS = 512, 32  # kept; of a source the entries heard last, of sources those heard of last
-QUIET = S // 2  # between two words of one gateway on one source
+S = 10_000  # clock ticks (0.1 ms) per second
+WINDOW = 3 * S  # the same as the breaker's window
+SUCCESS_TTL = S + S // 2  # a reported success counts this long: two fills of a gateway at full load
+FAR_FUTURE = (1 << 62) - 1  # later than any time
+LONG_AGO = 1 << 40  # ticks; its negative is before any time
+DEAD_QUORUM = 3  # gateways that have failures only, for the verdict `dead`
+# Gateways with successes that prevent the verdict: partial failure is left to each gateway's own breaker.
+SUCCESS_VETO = 1
+# Time for others to object before the verdict counts: for gossip through the fleet, and for a success at a
+# gateway that received it. With 0.6 s at 187 gateways, hundreds of breakers opened on parents that failed
+# half of the time (run zone+mass). The second value is added for each factor of e in the size of the fleet.
+OBJECTION_BASE, OBJECTION_PER_LOG_SIZE = 3 * S // 10, 3 * S // 20
+# Failures are reported when the last one is this long after the last success, or when so many came in a row
+# (the breaker's own minimum). The time is measured up to the last failure, not up to now: a breaker that
+# opened on partial failure yields no more outcomes, so that silence proves nothing. With a longer time, the
+# breaker of a busy gateway would open first.
+FAILING_FOR, FAILURE_RUN = S, 5
+MAX_SOURCES, MAX_REPORTERS = 512, 32  # kept; those heard of last, and per source the latest reports
+REPORT_INTERVAL = S // 2  # between two reports of one gateway on one source
 
 
 @dataclass(slots=True)
-class Own:
-    """What this gateway saw of a source lately."""
-
-    ends: deque[tuple[int, bool]] = field(default_factory=deque)  # when, bad; emptied as the window rolls
-    good_at: int = -LONG  # when the last good end was
-    said: tuple[int, int] = (0, 0)  # good or bad ends
-    said_at: int = -S
-    number: int = 0
-    location: int = wire.EVERYWHERE
-
-    def roll(self, now: int) -> tuple[int, int]:
-        """The run that it ends with: good ends, bad ends; one of them is 0."""
-        while self.ends and self.ends[0][0] <= now - WINDOW:
-            self.ends.popleft()
+class LocalOutcomes:
+    """Recent outcomes of this gateway's forwards to one source, and what it reported of them."""
+
+    # when, and whether it failed; emptied as the window moves on
+    outcomes: deque[tuple[int, bool]] = field(default_factory=deque)
+    last_success_at: int = -LONG_AGO
+    last_report: tuple[int, int] = (0, 0)  # successes, failures
+    reported_at: int = -S
+    sequence: int = 0
+    location: int = wire.ALL_LOCATIONS
+
+    def current_run(self, now: int) -> tuple[int, int]:
+        """Returns the length of the run of equal outcomes at the end: successes, failures; one of them is
+        0."""
+        while self.outcomes and self.outcomes[0][0] <= now - WINDOW:
+            self.outcomes.popleft()
         run = 0
-        for _, bad in reversed(self.ends):
-            if bad != self.ends[-1][1]:
+        for _, failed in reversed(self.outcomes):
+            if failed != self.outcomes[-1][1]:
                 break
             run += 1
-        return (0, run) if self.ends and self.ends[-1][1] else (run, 0)
+        return (0, run) if self.outcomes and self.outcomes[-1][1] else (run, 0)
 
-    def well_since(self, when: int) -> bool:
-        """Whether it gave anything here later than then, whatever came after."""
-        return self.good_at > when
+    def succeeded_since(self, when: int) -> bool:
+        """Returns whether a forward succeeded after that time, even if others failed later."""
+        return self.last_success_at > when
 
-    def only_bad(self, now: int) -> bool:
-        """Whether it gives nothing here: for some time, or for a run of ends."""
-        run = self.roll(now)[1]
-        return run >= RUN or (run > 0 and self.ends[-1][0] - self.good_at >= LATELY)
+    def only_failures(self, now: int) -> bool:
+        """Returns whether the source gives nothing here: for FAILING_FOR, or FAILURE_RUN times in a row."""
+        run = self.current_run(now)[1]
+        return run >= FAILURE_RUN or (run > 0 and self.outcomes[-1][0] - self.last_success_at >= FAILING_FOR)
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
-    """What another tells."""
+class PeerReport:
+    """The latest report of another gateway."""
 
     boot: int
-    number: int
-    good: int
-    bad: int
-    at: int  # when the last of those ends was, by this gateway's clock, less the ways of the words
+    sequence: int
+    successes: int
+    failures: int
+    at: int  # when the last of those outcomes was, by this gateway's clock; transit times are not included
 
-    def before(self, other: Entry) -> bool:
-        return (self.boot, self.number) < (other.boot, other.number)
+    def older_than(self, other: PeerReport) -> bool:
+        """Returns whether the other report replaces this one."""
+        return (self.boot, self.sequence) < (other.boot, other.sequence)
 
 
-def merged(mine: Mapping[int, Entry], theirs: Mapping[int, Entry]) -> dict[int, Entry]:
-    """Entries by gateway of two tables: of each the later one, of one and the same the one heard later."""
-    whole = dict(mine)
-    for place, entry in theirs.items():
-        known = whole.get(place)
-        if known is None or known.before(entry) or (not entry.before(known) and known.at < entry.at):
-            whole[place] = entry
-    return whole
+def merge(first: Mapping[int, PeerReport], second: Mapping[int, PeerReport]) -> dict[int, PeerReport]:
+    """Merges two tables of reports by gateway: keeps the later report, or of equal ones the one with later
+    time."""
+    result = dict(first)
+    for gateway, report in second.items():
+        known = result.get(gateway)
+        if (
+            known is None
+            or known.older_than(report)
+            or (not report.older_than(known) and known.at < report.at)
+        ):
+            result[gateway] = report
+    return result
 
 
 class Evidence:
-    KEPT = 64  # ends of one's own for one source
-
-    def __init__(self, me: int, told: int = 8) -> None:
-        """`told`: how many gateways there are."""
-        self.me = me
-        self.object = OBJECT + int(ROUND * math.log(max(2, told)))
-        self.own: dict[int, Own] = {}  # by source; emptied as windows run dry
-        self.told: dict[int, dict[int, Entry]] = {}  # by source, by gateway; emptied by time and SOURCES
-        self.bad_since: dict[int, int] = {}  # since when enough agree; emptied as they no longer do
-
-    def saw(self, now: int, source: int, location: int, bad: bool) -> None:
-        own = self.own.setdefault(source, Own(location=location))
-        own.location = location
-        own.ends.append((now, bad))
-        own.good_at = own.good_at if bad else now
-        if len(own.ends) > self.KEPT:
-            own.ends.popleft()
-        if source in self.told:
-            self.weigh(now, source)
-
-    def heard(self, now: int, seen: wire.Seen) -> bool:
-        """Whether it is news."""
-        if seen.by == self.me:
+    """Reports of all gateways on all sources."""
+
+    MAX_OUTCOMES = 64  # of this gateway, kept per source
+
+    def __init__(self, own_index: int, fleet_size: int = 8) -> None:
+        """`fleet_size`: the configured number of gateways."""
+        self.own_index = own_index
+        self.objection_delay = OBJECTION_BASE + int(OBJECTION_PER_LOG_SIZE * math.log(max(2, fleet_size)))
+        self.local: dict[int, LocalOutcomes] = {}  # by source; emptied as the windows run empty
+        # by source, then by gateway; emptied by time and MAX_SOURCES
+        self.reports: dict[int, dict[int, PeerReport]] = {}
+        self.agreed_since: dict[int, int] = {}  # by source, while enough gateways agree that it is dead
+
+    def record_outcome(self, now: int, source: int, location: int, failed: bool) -> None:
+        """Records how a forward of this gateway ended."""
+        local = self.local.setdefault(source, LocalOutcomes(location=location))
+        local.location = location
+        local.outcomes.append((now, failed))
+        local.last_success_at = local.last_success_at if failed else now
+        if len(local.outcomes) > self.MAX_OUTCOMES:
+            local.outcomes.popleft()
+        if source in self.reports:
+            self.update_agreement(now, source)
+
+    def receive(self, now: int, received: wire.OutcomeReport) -> bool:
+        """Stores a report of another gateway; returns whether it is news."""
+        if received.by == self.own_index:
             return False
-        entries = self.told.get(seen.source)
-        if entries is None:
-            if len(self.told) >= SOURCES:
-                del self.told[min(self.told, key=lambda s: max(e.at for e in self.told[s].values()))]
-            entries = self.told[seen.source] = {}
-        entry = Entry(seen.boot, seen.beat, seen.good, seen.bad, now - seen.age * wire.AGES)
-        known = entries.get(seen.by)
-        if known is not None and not known.before(entry):
+        reports = self.reports.get(received.source)
+        if reports is None:
+            if len(self.reports) >= MAX_SOURCES:
+                del self.reports[min(self.reports, key=lambda s: max(e.at for e in self.reports[s].values()))]
+            reports = self.reports[received.source] = {}
+        report = PeerReport(
+            received.boot,
+            received.sequence,
+            received.successes,
+            received.failures,
+            now - received.age * wire.AGE_UNIT,
+        )
+        known = reports.get(received.by)
+        if known is not None and not known.older_than(report):
             return False
-        entries[seen.by] = entry
-        if len(entries) > REPORTERS:
-            del entries[min(entries, key=lambda place: entries[place].at)]
-        self.weigh(now, seen.source)
+        reports[received.by] = report
+        if len(reports) > MAX_REPORTERS:
+            del reports[min(reports, key=lambda gateway: reports[gateway].at)]
+        self.update_agreement(now, received.source)
         return True
 
-    def tally(self, now: int, source: int) -> tuple[int, int]:
-        """Of other gateways, how many tell of good ends, and how many of bad ones."""
-        good = bad = 0
-        entries = self.told.get(source, {})
-        for place in [p for p, e in entries.items() if e.at <= now - (WINDOW if e.bad else FRESH)]:
-            del entries[place]
-        if not entries:
-            self.told.pop(source, None)
-        for entry in entries.values():
-            good += not entry.bad
-            bad += entry.bad > 0
-        return good, bad
-
-    def first_bad(self, source: int) -> int:
-        """When the first of the bad ends that are told was, as far as ages tell."""
-        return min((e.at for e in self.told.get(source, {}).values() if e.bad), default=MASK)
-
-    def weigh(self, now: int, source: int) -> None:
-        _, bad = self.tally(now, source)
-        first = self.first_bad(source)
-        # only answers since then say that it lives: as a source dies, all have just seen it well
-        good = sum(not e.bad and e.at > first for e in self.told.get(source, {}).values())
-        own = self.own.get(source)
-        if own is not None:
-            good += KEEP if own.well_since(first) else 0
-            bad += self.bad_here(now, source)
-        if bad >= AGREE and good < KEEP:
-            self.bad_since.setdefault(source, now)
+    def count_reporters(self, now: int, source: int) -> tuple[int, int]:
+        """Returns how many other gateways report successes and how many report failures."""
+        succeeding = failing = 0
+        reports = self.reports.get(source, {})
+        for gateway in [
+            g for g, e in reports.items() if e.at <= now - (WINDOW if e.failures else SUCCESS_TTL)
+        ]:
+            del reports[gateway]
+        if not reports:
+            self.reports.pop(source, None)
+        for report in reports.values():
+            succeeding += not report.failures
+            failing += report.failures > 0
+        return succeeding, failing
+
+    def first_failure_at(self, source: int) -> int:
+        """Returns when the first reported failure was, as far as the reports' ages show."""
+        return min((e.at for e in self.reports.get(source, {}).values() if e.failures), default=FAR_FUTURE)
+
+    def update_agreement(self, now: int, source: int) -> None:
+        """Recomputes whether enough gateways agree that a source is dead."""
+        _, failing = self.count_reporters(now, source)
+        first_failure = self.first_failure_at(source)
+        # Only successes since then count: all gateways had successes just before the source died.
+        succeeding = sum(
+            not e.failures and e.at > first_failure for e in self.reports.get(source, {}).values()
+        )
+        local = self.local.get(source)
+        if local is not None:
+            succeeding += SUCCESS_VETO if local.succeeded_since(first_failure) else 0
+            failing += self.fails_locally(now, source)
+        if failing >= DEAD_QUORUM and succeeding < SUCCESS_VETO:
+            self.agreed_since.setdefault(source, now)
         else:
-            self.bad_since.pop(source, None)
+            self.agreed_since.pop(source, None)
 
-    def bad_here(self, now: int, source: int) -> bool:
-        """Whether this gateway has seen nothing but bad ends itself."""
-        own = self.own.get(source)
-        return own is not None and own.only_bad(now)
+    def fails_locally(self, now: int, source: int) -> bool:
+        """Returns whether this gateway's own forwards to it fail, and none succeeds."""
+        local = self.local.get(source)
+        return local is not None and local.only_failures(now)
 
-    def settled(self, now: int, seen: wire.Seen) -> bool:
-        """Whether enough say the same already."""
-        good, bad = self.tally(now, seen.source)
-        return bad > AGREE if seen.bad else good > KEEP
+    def already_agreed(self, now: int, report: wire.OutcomeReport) -> bool:
+        """Returns whether enough gateways report the same already."""
+        succeeding, failing = self.count_reporters(now, report.source)
+        return failing > DEAD_QUORUM if report.failures else succeeding > SUCCESS_VETO
 
     def verdict(self, now: int, source: int) -> str:
-        if source in self.told:
-            self.weigh(now, source)
-        since = self.bad_since.get(source)
-        if since is not None and source not in self.told:
-            del self.bad_since[source]
+        """Returns `dead` if enough gateways agree and nobody objected in time, else an empty string."""
+        if source in self.reports:
+            self.update_agreement(now, source)
+        since = self.agreed_since.get(source)
+        if since is not None and source not in self.reports:
+            del self.agreed_since[source]
             since = None
-        if since is not None and now - since >= self.object:
+        if since is not None and now - since >= self.objection_delay:
             return "dead"
         return ""
 
     def clear(self, source: int) -> None:
-        """It runs anew, or a trial has shown it well: what was said before says nothing."""
-        self.own.pop(source, None)
-        self.told.pop(source, None)
-        self.bad_since.pop(source, None)
-
-    def news(self, now: int, boot: int) -> list[wire.Seen]:
-        """One's own windows that others should know: nothing but bad ends, or good ones of what others
-        call bad. Said again only when it has changed, and not at once."""
-        found = []
-        for source, own in list(self.own.items()):
-            good, bad = own.roll(now)
-            if not own.ends:
-                del self.own[source]
+        """Drops all reports and outcomes of a source: it is a new process, or a trial succeeded."""
+        self.local.pop(source, None)
+        self.reports.pop(source, None)
+        self.agreed_since.pop(source, None)
+
+    def reports_due(self, now: int, boot: int) -> list[wire.OutcomeReport]:
+        """Returns this gateway's reports to publish: failures only, or successes with a source that others
+        report as failing. A report is repeated only when it has changed or half a window has passed."""
+        due = []
+        for source, local in list(self.local.items()):
+            successes, failures = local.current_run(now)
+            if not local.outcomes:
+                del self.local[source]
                 continue
-            if bad and own.only_bad(now):
-                good, at = 0, own.ends[-1][0]
-            elif own.well_since(self.first_bad(source)) or (own.said[1] > 0 and good):
-                good, bad, at = max(1, good), 0, own.good_at  # it gives here, if not each time
+            if failures and local.only_failures(now):
+                successes, at = 0, local.outcomes[-1][0]
+            elif local.succeeded_since(self.first_failure_at(source)) or (
+                local.last_report[1] > 0 and successes
+            ):
+                # it answers here, if not each time
+                successes, failures, at = max(1, successes), 0, local.last_success_at
             else:
-                continue  # it may fail in part: nothing that others should act on
-            same = (own.said[0] > 0, own.said[1] > 0) == (good > 0, bad > 0)
-            if now - own.said_at < (WINDOW // 2 if same else QUIET):
+                continue  # may be partial failure, on which others should not act
+            unchanged = (local.last_report[0] > 0, local.last_report[1] > 0) == (successes > 0, failures > 0)
+            if now - local.reported_at < (WINDOW // 2 if unchanged else REPORT_INTERVAL):
                 continue
-            age = min(255, (now - at) // wire.AGES)
-            seen = wire.Seen(self.me, boot, own.number + 1, source, own.location,
-                             min(255, good), min(255, bad), age)  # fmt: skip
-            if not self.settled(now, seen):
-                own.said, own.said_at, own.number = (good, bad), now, own.number + 1
-                found.append(seen)
-        return found
+            age = min(255, (now - at) // wire.AGE_UNIT)
+            report = wire.OutcomeReport(self.own_index, boot, local.sequence + 1, source, local.location,
+                                        min(255, successes), min(255, failures), age)  # fmt: skip
+            if not self.already_agreed(now, report):
+                local.last_report, local.reported_at, local.sequence = (
+                    (successes, failures),
+                    now,
+                    local.sequence + 1,
+                )
+                due.append(report)
+        return due
--- a/damsonstream/peers/members.py
+++ b/damsonstream/peers/members.py
@@ -1,16 +1,19 @@
-"""Who runs: what one gateway believes of the others. No I/O; time is handed in.
-
-How it is called: `Members(me, boot, told, now)`; `heard(now, beat, direct)` for each beat, `doubted(now,
-doubt)` for each doubt, `tick(now)` a few times a second, which gives the doubts that this gateway has to
-tell. `state(now, place)` is what is believed of one, `standing(now)` what of oneself.
-
-Each gateway exchanges beats with `BESIDE` others on either side of it in one mixed round of all that the
-settings tell of, running or not: so many hear it, nobody hears all. One that misses some says so (a doubt);
-two doubts of one boot that no newer beat answers make it silent. What that means depends on how many fell
-silent together: one or a few are gone, a large part at once is apart (a split: they may go on out of sight).
-A gateway that hears nobody is cut off itself, and one that has stood still believes nobody silent because of
-it. None of this gives anyone a share that was another's (peers/shares.py): a belief may be wrong, and both
-sides of a split may hold it of the other.
+"""Membership and failure detection: what one gateway believes of the others. No I/O; the caller passes the
+time.
+
+Usage: `Membership(own_index, boot, fleet_size, now)`; `receive_heartbeat(now, heartbeat, direct)` for each
+heartbeat, `receive_suspicion(now, suspicion)` for each suspicion, and `tick(now)` a few times a second, which
+returns the suspicions to publish. `state(now, peer)` is the state of another gateway, `own_status(now)` that
+of this one.
+
+All configured gateways, running or not, form a pseudo-random ring, and each exchanges heartbeats with
+`NEIGHBORS_PER_SIDE` others on either side: enough receive it, and nobody has to receive from all. A neighbor
+that misses heartbeats publishes a suspicion. Two suspicions of one boot that no newer heartbeat refutes make
+the gateway silent. What that means depends on how many became silent at the same time: one or a few are
+`gone`, a large part of the fleet at once is `apart` (a split: they may still run, out of reach). A gateway
+that receives nothing is cut off itself, and one that has stalled does not count the stall against the others.
+None of this gives a gateway another one's share (peers/shares.py): a belief may be wrong, and both sides of a
+split may hold it of the other.
 """
 
 from __future__ import annotations
@@ -20,197 +23,254 @@
 
 from damsonstream.peers import order, wire
 
-S = 10_000
-BESIDE = 2  # on either side: two doubts are asked for, so that two of four may be dead or cut off as well
-DOUBTS = 2  # one gateway's broken link must make nobody silent
-PERIOD = 3 * S  # between beats: four of 40 bytes in it are 50 bytes a second
-MISSED = 3  # beats in a row, then a watcher doubts: at a loss of 30% one in 37 does for nothing, two rarely
-ANSWER = 1 * S  # for a doubted one to answer before it counts as silent: two ways through the fleet
-APART = 0.2  # of the fleet silent within TOGETHER: no coincidence, but a split or a common death
-TOGETHER = (MISSED + 1) * PERIOD  # the spread of first doubts of one event
-FORGET = 60 * S  # after which what is known of a silent one goes: longer than any restart
-STALL = PERIOD // 2  # between two ticks: this process stood still
-MOST_BEATS = 1 << 32  # of a boot: more is another's nonsense, and answered by a new boot
-ECHO = 4 * PERIOD  # no neighbour that is heard has heard a newer beat of one's own: links one way only
+S = 10_000  # clock ticks (0.1 ms) per second
+# Two of four neighbors have to suspect a gateway, so that the other two may be dead or cut off as well.
+NEIGHBORS_PER_SIDE = 2
+MIN_REPORTERS = 2  # one gateway's broken link must not make another one silent
+HEARTBEAT_INTERVAL = 3 * S  # four heartbeats of 40 bytes per interval are about 50 bytes a second
+# Missed in a row before a neighbor is suspected: at 30% loss one in 37 is suspected without cause, rarely by
+# two.
+MISSED_HEARTBEATS = 3
+SUSPICION_TIMEOUT = 1 * S  # time to refute a suspicion: twice the time of gossip through the fleet
+# A larger fraction of the fleet silent within SPLIT_WINDOW is no coincidence, but a split or a common
+# failure.
+SPLIT_FRACTION = 0.2
+# The first suspicions that one event causes lie within this time.
+SPLIT_WINDOW = (MISSED_HEARTBEATS + 1) * HEARTBEAT_INTERVAL
+FORGET_AFTER = 60 * S  # a silent gateway is forgotten after this time: longer than any restart
+STALL_THRESHOLD = HEARTBEAT_INTERVAL // 2  # longer between two ticks: this process stalled
+# of one boot; a larger one reported for this gateway is invalid, and leads to a new boot
+MAX_SEQUENCE = 1 << 32
+# If no reachable neighbor confirms a newer heartbeat for this long, links work in one direction only.
+ECHO_TIMEOUT = 4 * HEARTBEAT_INTERVAL
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of one other gateway."""
+    """What is known of another gateway."""
 
     boot: int
-    beat: int
-    heard: int  # when that was, by this gateway's clock
+    sequence: int
+    heard_at: int  # when that heartbeat was received, by this gateway's clock
     location: int
     demand: float  # GETs a second
-    gap: int = 0  # the longest between its last two beats; shrinks as they come in time again
-    returned: bool = False  # it runs under a later boot than was known before
+    # Ticks between its last two heartbeats if they were late; halves as they are in time again.
+    gap: int = 0
+    restarted: bool = False  # its last known heartbeat was the first of a later boot
 
 
 @dataclass(slots=True)
-class Silence:
-    """Doubts of one boot and beat."""
+class Suspected:
+    """Suspicions of one gateway, for one boot and heartbeat."""
 
     boot: int
-    beat: int
+    sequence: int
     since: int
-    by: set[int]
-
-
-class Members:
-    def __init__(self, me: int, boot: int, told: int, now: int) -> None:
-        """`told`: how many gateways the settings tell of, this one included; never fewer are counted on."""
-        self.me, self.boot, self.beat = me, boot, 0
-        self.others: dict[int, Member] = {}  # by place, under `told`; emptied after FORGET of silence
-        self.silences: dict[int, Silence] = {}  # by place; emptied by a newer beat, or with its member
-        self.begun = self.ticked = self.any_at = now  # any_at: the last datagram of anyone
-        self.echo, self.echo_at = 0, now  # the latest of one's own beats that is known to be heard; when
-        self.said: dict[int, int] = {}  # doubts that this gateway told: by place, the beat
-        self.told = 0
-        self.resize(now, told)
-
-    def resize(self, now: int, told: int) -> None:
-        """The told number has changed; who is beyond it is nobody any more."""
-        if told == self.told:
+    reporters: set[int]
+
+
+class Membership:
+    """One gateway's view of which others are alive."""
+
+    def __init__(self, own_index: int, boot: int, fleet_size: int, now: int) -> None:
+        """`fleet_size`: the configured number of gateways, this one included, whether they run or not."""
+        self.own_index, self.boot, self.sequence = own_index, boot, 0
+        # by index, below `fleet_size`; emptied after FORGET_AFTER of silence
+        self.others: dict[int, Member] = {}
+        # by index; emptied by a newer heartbeat, or with its member
+        self.silences: dict[int, Suspected] = {}
+        # last_received_at: when the last datagram of any gateway came
+        self.started_at = self.ticked_at = self.last_received_at = now
+        # the latest own heartbeat that a neighbor confirmed, and when it did
+        self.echoed_sequence, self.echoed_at = 0, now
+        self.reported: dict[int, int] = {}  # suspicions of this gateway: by index, the sequence number
+        self.fleet_size = 0
+        self.resize(now, fleet_size)
+
+    def resize(self, now: int, fleet_size: int) -> None:
+        """Sets the configured number of gateways; those beyond it are forgotten."""
+        if fleet_size == self.fleet_size:
             return
-        self.told = told
-        for place in [place for place in self.others if place >= told]:
-            self.forget(place)
-        self.round = order.ring(told)
-        self.spot = {place: spot for spot, place in enumerate(self.round)}
-        self.watched = {place: now for place in self.beside(self.me)}  # a beat is due of each from then on
-
-    def beside(self, place: int) -> list[int]:
-        """With whom it exchanges beats."""
-        spot, count = self.spot[place], self.told
-        steps = [step for by in range(1, BESIDE + 1) for step in (by, -by)]
-        near = dict.fromkeys(self.round[(spot + step) % count] for step in steps)
-        near.pop(place, None)
-        return list(near)
-
-    def forget(self, place: int) -> None:
-        self.others.pop(place, None)
-        self.silences.pop(place, None)
-        self.said.pop(place, None)
-
-    def anyone(self, now: int) -> None:
-        """A datagram came, whoever sent it."""
-        self.any_at = now
-
-    def heard(self, now: int, beat: wire.Beat, direct: bool) -> bool:
-        """A beat, from its gateway or passed on; whether it is news. A beat of one's own under a later boot
-        is an earlier self's or a twin's: this one goes on under a boot beyond it."""
-        if beat.by == self.me:
-            if beat.boot > self.boot or beat.beat > MOST_BEATS:
-                self.boot, self.beat, self.echo = beat.boot + 1, 0, 0
-            elif beat.boot == self.boot:
-                self.beat = max(self.beat, beat.beat)
+        self.fleet_size = fleet_size
+        for peer in [peer for peer in self.others if peer >= fleet_size]:
+            self.forget(peer)
+        self.ring = order.ring(fleet_size)
+        self.ring_positions = {peer: position for position, peer in enumerate(self.ring)}
+        # when each neighbor was last heard; the first heartbeat is due from now on
+        self.neighbors_heard_at = {peer: now for peer in self.neighbors(self.own_index)}
+
+    def neighbors(self, peer: int) -> list[int]:
+        """Returns the gateways with which a gateway exchanges heartbeats."""
+        position, count = self.ring_positions[peer], self.fleet_size
+        offsets = [offset for by in range(1, NEIGHBORS_PER_SIDE + 1) for offset in (by, -by)]
+        neighbors = dict.fromkeys(self.ring[(position + offset) % count] for offset in offsets)
+        neighbors.pop(peer, None)
+        return list(neighbors)
+
+    def forget(self, peer: int) -> None:
+        """Drops all that is known of a gateway."""
+        self.others.pop(peer, None)
+        self.silences.pop(peer, None)
+        self.reported.pop(peer, None)
+
+    def datagram_received(self, now: int) -> None:
+        """Notes that a datagram of any gateway came."""
+        self.last_received_at = now
+
+    def receive_heartbeat(self, now: int, heartbeat: wire.Heartbeat, direct: bool) -> bool:
+        """Handles a heartbeat, sent by its gateway (`direct`) or relayed; returns whether it is news. If it
+        names this gateway and a later boot, it is of a previous process or of a second gateway with this
+        index: this gateway continues with a boot after it."""
+        if heartbeat.by == self.own_index:
+            if heartbeat.boot > self.boot or heartbeat.sequence > MAX_SEQUENCE:
+                self.boot, self.sequence, self.echoed_sequence = heartbeat.boot + 1, 0, 0
+            elif heartbeat.boot == self.boot:
+                self.sequence = max(self.sequence, heartbeat.sequence)
             return False
-        if beat.by >= self.told:
+        if heartbeat.by >= self.fleet_size:
             return False
-        if direct and self.echo < beat.echo <= self.beat:
-            self.echo, self.echo_at = beat.echo, now
-        known = self.others.get(beat.by)
-        if known is not None and (beat.boot, beat.beat) <= (known.boot, known.beat):
+        if direct and self.echoed_sequence < heartbeat.echo <= self.sequence:
+            self.echoed_sequence, self.echoed_at = heartbeat.echo, now
+        known = self.others.get(heartbeat.by)
+        if known is not None and (heartbeat.boot, heartbeat.sequence) <= (known.boot, known.sequence):
             return False
         if known is None:
-            self.others[beat.by] = Member(beat.boot, beat.beat, now, beat.location, beat.demand / 100)
+            self.others[heartbeat.by] = Member(
+                heartbeat.boot, heartbeat.sequence, now, heartbeat.location, heartbeat.demand / 100
+            )
         else:
-            known.returned = beat.boot > known.boot
-            gap = 0 if known.returned else now - known.heard
+            known.restarted = heartbeat.boot > known.boot
+            gap = 0 if known.restarted else now - known.heard_at
             known.gap = max(gap, known.gap // 2) if direct else known.gap
-            known.boot, known.beat, known.heard = beat.boot, beat.beat, now
-            known.location, known.demand = beat.location, beat.demand / 100
-        if beat.by in self.watched:
-            self.watched[beat.by] = now
-        silence = self.silences.get(beat.by)
-        if silence is not None and (beat.boot, beat.beat) > (silence.boot, silence.beat):
-            del self.silences[beat.by]
-        self.said.pop(beat.by, None)
+            known.boot, known.sequence, known.heard_at = heartbeat.boot, heartbeat.sequence, now
+            known.location, known.demand = heartbeat.location, heartbeat.demand / 100
+        if heartbeat.by in self.neighbors_heard_at:
+            self.neighbors_heard_at[heartbeat.by] = now
+        suspected = self.silences.get(heartbeat.by)
+        if suspected is not None and (heartbeat.boot, heartbeat.sequence) > (
+            suspected.boot,
+            suspected.sequence,
+        ):
+            del self.silences[heartbeat.by]
+        self.reported.pop(heartbeat.by, None)
         return True
 
-    def doubted(self, now: int, doubt: wire.Doubt) -> bool:
-        """A doubt of a watcher; whether it is news. One of oneself is answered by the next beat, at once."""
-        if doubt.of == self.me:
-            if doubt.boot == self.boot:
-                self.beat = max(self.beat, doubt.beat) + 1
+    def receive_suspicion(self, now: int, suspicion: wire.Doubt) -> bool:
+        """Handles a suspicion; returns whether it is news. A suspicion of this gateway itself makes its next
+        heartbeat newer than the suspicion, and the caller publishes that at once."""
+        if suspicion.of == self.own_index:
+            if suspicion.boot == self.boot:
+                self.sequence = max(self.sequence, suspicion.sequence) + 1
             return False
-        if doubt.of >= self.told or doubt.by >= self.told or doubt.by == self.me:
+        if (
+            suspicion.of >= self.fleet_size
+            or suspicion.by >= self.fleet_size
+            or suspicion.by == self.own_index
+        ):
             return False
-        known = self.others.get(doubt.of)
-        if known is not None and (known.boot, known.beat) > (doubt.boot, doubt.beat):
+        known = self.others.get(suspicion.of)
+        if known is not None and (known.boot, known.sequence) > (suspicion.boot, suspicion.sequence):
             return False
-        if doubt.by not in self.beside(doubt.of):
-            return False  # who does not watch it can't know
-        silence = self.silences.get(doubt.of)
-        if silence is None or (doubt.boot, doubt.beat) > (silence.boot, silence.beat):
-            since = now if silence is None else silence.since
-            silence = self.silences[doubt.of] = Silence(doubt.boot, doubt.beat, since, set())
-        if (doubt.boot, doubt.beat) < (silence.boot, silence.beat) or doubt.by in silence.by:
+        if suspicion.by not in self.neighbors(suspicion.of):
+            return False  # only neighbors exchange heartbeats with it
+        suspected = self.silences.get(suspicion.of)
+        if suspected is None or (suspicion.boot, suspicion.sequence) > (suspected.boot, suspected.sequence):
+            since = now if suspected is None else suspected.since
+            suspected = self.silences[suspicion.of] = Suspected(
+                suspicion.boot, suspicion.sequence, since, set()
+            )
+        if (suspicion.boot, suspicion.sequence) < (
+            suspected.boot,
+            suspected.sequence,
+        ) or suspicion.by in suspected.reporters:
             return False
-        silence.by.add(doubt.by)
+        suspected.reporters.add(suspicion.by)
         return True
 
     def tick(self, now: int) -> list[wire.Doubt]:
-        """Doubts to tell now. After a standstill all that is watched gets its time anew."""
-        stood, self.ticked = now - self.ticked, now
-        if stood > STALL:
-            self.any_at += stood
-            self.echo_at += stood
-            self.watched = {place: at + stood for place, at in self.watched.items()}
+        """Returns the suspicions to publish now. After a stall of this process, the time that it took is
+        added to all deadlines."""
+        stalled_for, self.ticked_at = now - self.ticked_at, now
+        if stalled_for > STALL_THRESHOLD:
+            self.last_received_at += stalled_for
+            self.echoed_at += stalled_for
+            self.neighbors_heard_at = {peer: at + stalled_for for peer, at in self.neighbors_heard_at.items()}
             for member in self.others.values():
-                member.heard += stood
-            for silence in self.silences.values():
-                silence.since = now
-        for place in [p for p, m in self.others.items() if now - m.heard > FORGET and p in self.silences]:
-            self.forget(place)
-        if self.hears_nobody(now):
-            return []  # it is this one that is cut off
-        doubts = []
-        for place, at in self.watched.items():
-            known = self.others.get(place)
-            if known is None or now - at <= MISSED * PERIOD or self.said.get(place) == known.beat:
+                member.heard_at += stalled_for
+            for suspected in self.silences.values():
+                suspected.since = now
+        for peer in [
+            p for p, m in self.others.items() if now - m.heard_at > FORGET_AFTER and p in self.silences
+        ]:
+            self.forget(peer)
+        if self.isolated(now):
+            return []  # this gateway is the one that is cut off
+        suspicions = []
+        for peer, at in self.neighbors_heard_at.items():
+            known = self.others.get(peer)
+            if (
+                known is None
+                or now - at <= MISSED_HEARTBEATS * HEARTBEAT_INTERVAL
+                or self.reported.get(peer) == known.sequence
+            ):
                 continue
-            self.said[place] = known.beat
-            silence = self.silences.setdefault(place, Silence(known.boot, known.beat, now, set()))
-            silence.by.add(self.me)
-            doubts.append(wire.Doubt(self.me, place, known.boot, known.beat))
-        return doubts
-
-    def hears_nobody(self, now: int) -> bool:
-        return self.told > 1 and now - self.any_at > MISSED * PERIOD
-
-    def silent(self, now: int, place: int) -> bool:
-        silence = self.silences.get(place)
-        return silence is not None and self.agreed(silence) and now - silence.since >= ANSWER
-
-    def agreed(self, silence: Silence) -> bool:
-        return len(silence.by) >= min(DOUBTS, self.told - 2, 2 * BESIDE) or self.told == 2
-
-    def state(self, now: int, place: int) -> str:
-        """here, slow, gone, apart, or unknown: never heard of."""
-        if self.silent(now, place):
-            since = self.silences[place].since
-            together = sum(
-                1 for other, silence in self.silences.items() if abs(silence.since - since) <= TOGETHER
+            self.reported[peer] = known.sequence
+            suspected = self.silences.setdefault(peer, Suspected(known.boot, known.sequence, now, set()))
+            suspected.reporters.add(self.own_index)
+            suspicions.append(wire.Doubt(self.own_index, peer, known.boot, known.sequence))
+        return suspicions
+
+    def isolated(self, now: int) -> bool:
+        """Returns whether no datagram has come for some time."""
+        return self.fleet_size > 1 and now - self.last_received_at > MISSED_HEARTBEATS * HEARTBEAT_INTERVAL
+
+    def silent(self, now: int, peer: int) -> bool:
+        """Returns whether a gateway counts as silent: suspected by enough neighbors, and not refuted in
+        time."""
+        suspected = self.silences.get(peer)
+        return (
+            suspected is not None and self.confirmed(suspected) and now - suspected.since >= SUSPICION_TIMEOUT
+        )
+
+    def confirmed(self, suspected: Suspected) -> bool:
+        """Returns whether enough neighbors suspect the gateway."""
+        return (
+            len(suspected.reporters) >= min(MIN_REPORTERS, self.fleet_size - 2, 2 * NEIGHBORS_PER_SIDE)
+            or self.fleet_size == 2
+        )
+
+    def state(self, now: int, peer: int) -> str:
+        """Returns `here`, `slow` (heartbeats come late), `gone` (silent), `apart` (silent together with a
+        large part of the fleet) or `unknown` (never heard of)."""
+        if self.silent(now, peer):
+            since = self.silences[peer].since
+            simultaneous = sum(
+                1
+                for other, suspected in self.silences.items()
+                if abs(suspected.since - since) <= SPLIT_WINDOW
             )
-            return "apart" if together > max(1.0, APART * self.told) else "gone"
-        known = self.others.get(place)
+            return "apart" if simultaneous > max(1.0, SPLIT_FRACTION * self.fleet_size) else "gone"
+        known = self.others.get(peer)
         if known is None:
             return "unknown"
-        return "slow" if known.gap > 2 * PERIOD and place in self.watched else "here"
+        return "slow" if known.gap > 2 * HEARTBEAT_INTERVAL and peer in self.neighbors_heard_at else "here"
 
     def standing(self, now: int) -> str:
-        """well, cut off (hears nobody), unheard (is heard by nobody) or split (a large part is apart)."""
-        if self.hears_nobody(now):
+        """Returns the status of this gateway: `well`, `cut off` (receives nothing), `unheard` (nobody
+        receives its heartbeats) or `split` (a large part of the fleet is `apart`)."""
+        if self.isolated(now):
             return "cut off"
-        near = (self.others[place].heard for place in self.watched if place in self.others)
-        if now - self.echo_at > ECHO and any(now - heard < PERIOD * 2 for heard in near):
+        neighbors_heard = (
+            self.others[peer].heard_at for peer in self.neighbors_heard_at if peer in self.others
+        )
+        if now - self.echoed_at > ECHO_TIMEOUT and any(
+            now - heard_at < HEARTBEAT_INTERVAL * 2 for heard_at in neighbors_heard
+        ):
             return "unheard"
-        if any(self.state(now, place) == "apart" for place in self.silences):
+        if any(self.state(now, peer) == "apart" for peer in self.silences):
             return "split"
         return "well"
 
-    def living(self, now: int, places: Iterable[int]) -> list[int]:
-        """Those of `places` that may be counted on for a turn: all but the silent ones; oneself always."""
-        return [place for place in places if place == self.me or not self.silent(now, place)]
+    def alive(self, now: int, gateways: Iterable[int]) -> list[int]:
+        """Returns the gateways of the given ones that are not silent; this one always counts as alive."""
+        return [peer for peer in gateways if peer == self.own_index or not self.silent(now, peer)]
--- a/damsonstream/peers/shares.py
+++ b/damsonstream/peers/shares.py
@@ -1,21 +1,22 @@
-"""This gateway's part of what holds for all together. No I/O; time is handed in.
-
-How it is called: `Shares(me, scope, count, now, alone)`; `part(now)` is the part of any cap of that scope
-(the cold budget of a cache, a source's limit) that this gateway may use, `asked(now)` is called for each GET,
-`asks(now, others)` gives what to ask for and of whom, `grant(now, who, ask)` what another is lent, `lent(now,
-who, grant)` takes what was lent.
-
-Each gateway owns an equal part, one of the told number. A `FLOOR` of it never leaves it; the rest is lent to
-those that are asked for more, and comes back by itself as the lease ends. One number serves all caps of a
-scope, since what makes gateways unequal is what they are asked for.
-
-**The sum is never over the cap**: a lease is counted from when it was asked for by who borrows, and from
-when it was given, which is later, by who lends, an eighth longer against clocks that run unevenly. So at each
-time a lent part is used by one at most, whatever is lost, late, repeated or stopped on the way, and clocks
-need not agree. One that starts knows of no lease of its earlier self, and keeps to its floor until the
-longest of them is over. Nobody takes the part of one that is silent: it may be well and only out of hearing.
-As the told number changes, those that run keep to the smaller of both parts for a lease's time, and new ones
-start on their floor: the sum is then at most 1 + FLOOR.
+"""This gateway's share of the caps that hold for all gateways together. No I/O; the caller passes the time.
+
+Usage: `Shares(own_index, scope, count, now, static)`; `fraction(now)` is the fraction of any cap of that
+scope (the cold budget of a cache, a source's limit) that this gateway may use. `record_get(now)` is called
+for each GET. `renewals_and_requests(now, candidates)` returns the lease requests to send, `grant(now, peer,
+request)` what is lent to another gateway, and `receive_grant(now, peer, grant)` accepts what another one
+lends.
+
+Each gateway owns an equal share: the cap divided by the configured number of gateways. It always keeps
+`FLOOR_FRACTION` of that; it lends the rest to gateways with more demand, and gets it back as the lease
+expires. One fraction serves all caps of a scope, since gateways differ only in their demand.
+
+**The sum never exceeds the cap**: the borrower counts a lease from when it sent the request, the lender from
+when it granted it, which is later, and an eighth longer in case their clocks run at different speeds. So at
+each time at most one gateway uses a lent share, whatever is lost, late, duplicated or held up on the way, and
+clocks need not agree. A gateway that starts knows no lease of its previous process, and keeps to its floor
+until the longest of them has expired. Nobody takes over the share of a silent gateway: it may be alive and
+only unreachable. When the configured number of gateways changes, running ones use the smaller of both shares
+for the duration of a lease, and new ones start with their floor: the sum is then at most 1 + FLOOR_FRACTION.
 """
 
 from __future__ import annotations
@@ -28,173 +29,209 @@
 
 from damsonstream.peers import wire
 
-S = 10_000
-WHOLE = 1_000_000  # parts are counted in millionths of a cap, in whole ones, so that sums are exact
-FLOOR = 0.25  # of its own part, which stays: what comes of a sudden has somewhere to go until a lease comes
-LASTS = 3 * S  # a lease: longer than messages take, and short enough for one that starts on its floor
-MARGIN = 8  # one part in so many that a lender waits longer than it lent: clocks may run unevenly by that
-RENEW = LASTS // 2  # before a lease ends it is asked for again, three times at most
-AGAIN = S  # between asks
-AT_ONCE = 8  # others that are asked at one time, each for half a gateway's own part or less
-KEEPS = 0.75  # of what it wants: with less left, one that lent does not lend again; demand is a coarse count
-LEAST = 0.05  # of its own part: less does not pay a message
-LEASES = 32  # given, and as many taken: what a gateway with many times the usual traffic needs
-FAR = 8.0  # times the middle demand: beyond it what one tells counts no more, so that nonsense moves little
-SPAN, SOON = 8 * S, S  # over which a gateway's own demand is counted, and where it has doubled of a sudden
-SUDDEN = 4  # GETs more in SOON than twice as many as in the span: at 2 GETs a second one span in 30 by chance
+S = 10_000  # clock ticks (0.1 ms) per second
+CAP_MILLIONTHS = 1_000_000  # shares are whole millionths of a cap, so that sums are exact
+# Of the equal share, never lent: serves a sudden rise in demand until a lease is granted.
+FLOOR_FRACTION = 0.25
+# Longer than messages take, and short enough for a gateway that starts with its floor.
+LEASE_DURATION = 3 * S
+# A lender waits longer than it lent by one part in this many: tolerated difference in clock speed.
+CLOCK_MARGIN_DIVISOR = 8
+RENEW_BEFORE_END = LEASE_DURATION // 2  # renewal starts this long before the end: three attempts at most
+REQUEST_INTERVAL = S  # between requests
+MAX_PARALLEL_REQUESTS = 8  # gateways asked at a time, each for half an equal share or less
+# A lender refuses renewal if it has less left than this fraction of what it wants; demand is a coarse
+# estimate.
+RENEWAL_THRESHOLD = 0.75
+MIN_LEASE_FRACTION = 0.05  # of the equal share: a smaller lease is not worth a message
+MAX_LEASES = 32  # lent, and as many borrowed: enough for many times the usual traffic
+# A reported demand counts up to this multiple of the median, so that an invalid one has little effect.
+OUTLIER_FACTOR = 8.0
+DEMAND_WINDOW, BURST_WINDOW = 8 * S, S  # demand is the mean over the first, or over the second in a burst
+# A burst has this many GETs in BURST_WINDOW above twice the mean: at 2 GETs a second one window in 30 by
+# chance.
+BURST_MARGIN = 4
 
 
 @dataclass(slots=True)
 class Lease:
-    other: int
+    """A lent or borrowed share, or a pending request for one."""
+
+    peer: int
     millionths: int
-    until: int
-    asked: int = 0  # when it was asked for last
-    number: int = 0  # of the lease, where the table goes by asks
+    expires_at: int
+    requested_at: int = 0  # when it was last requested
+    number: int = 0  # number of the lease, in tables keyed by request number
 
 
 class Shares:
+    """One gateway's share of the caps of one scope (its location, or the fleet), and its leases."""
+
     def __init__(
-        self, me: int, scope: int, count: int, now: int, alone: bool = False, gets: deque[int] | None = None
-    ) -> None:
-        """`count`: gateways of the scope. `alone`: no messages are sent, and it keeps to its equal part.
-        `gets`: those of another scope's, where they are the same GETs."""
-        self.me, self.scope, self.alone = me, scope, alone
-        self.count, self.own = max(1, count), WHOLE // max(1, count)
-        self.before = self.own if alone else 0  # what it surely owns until `settled`
-        self.begun, self.settled = now, now if alone else now + self.longest()
-        self.given: dict[tuple[int, int], Lease] = {}  # lent, by who has it and its number; emptied by time
-        self.taken: dict[int, Lease] = {}  # borrowed, by number; emptied by time
-        self.open: dict[int, Lease] = {}  # asks without an answer, by their number; emptied by time
-        self.next_ask = now
-        self.number = now & 0x3FFFFFFF  # of leases and asks; not those of an earlier self
-        self.gets: deque[int] = deque() if gets is None else gets  # when; emptied as the span rolls
-        self.usual = 0.0  # GETs a second that one is asked for, the mean as far as it is known; 0: not known
+        self, own_index: int, scope: int, count: int, now: int, static: bool = False,
+        get_times: deque[int] | None = None,
+    ) -> None:  # fmt: skip
+        """`count`: gateways of the scope. `static`: send no messages and keep to the equal share.
+        `get_times`: those of another scope's instance, where both count the same GETs."""
+        self.own_index, self.scope, self.static = own_index, scope, static
+        self.count, self.equal_share = max(1, count), CAP_MILLIONTHS // max(1, count)
+        self.provisional = self.equal_share if static else 0  # what it certainly owns until `settled_at`
+        self.started_at, self.settled_at = now, now if static else now + self.max_lease_duration()
+        # by borrower and lease number; emptied by time
+        self.given: dict[tuple[int, int], Lease] = {}
+        self.taken: dict[int, Lease] = {}  # by lease number; emptied by time
+        self.pending: dict[int, Lease] = {}  # unanswered requests, by request number; emptied by time
+        self.next_request_at = now
+        # Last lease or request number. Starts from the clock, not to repeat numbers of the previous process.
+        self.sequence = now & 0x3FFFFFFF
+        # emptied as DEMAND_WINDOW moves on
+        self.get_times: deque[int] = deque() if get_times is None else get_times
+        self.mean_demand = 0.0  # GETs a second of a gateway, the mean of those known; 0: unknown
 
     @staticmethod
-    def longest() -> int:
-        """How long a part that was lent may be used elsewhere."""
-        return LASTS + LASTS // MARGIN
+    def max_lease_duration() -> int:
+        """Returns how long a lent share may be in use elsewhere."""
+        return LEASE_DURATION + LEASE_DURATION // CLOCK_MARGIN_DIVISOR
 
     def resize(self, now: int, count: int) -> None:
-        """The told number changed. A smaller part holds at once, a larger one once all others know."""
+        """Sets the configured number of gateways. A smaller share holds at once, a larger one after all
+        others have learned of the change."""
         if max(1, count) == self.count:
             return
-        held = self.base(now)
+        previous = self.owned(now)
         self.count = max(1, count)
-        self.own = WHOLE // self.count
-        self.before, self.settled = min(held, self.own), now + self.longest()
+        self.equal_share = CAP_MILLIONTHS // self.count
+        self.provisional, self.settled_at = min(previous, self.equal_share), now + self.max_lease_duration()
 
-    def base(self, now: int) -> int:
-        """What it owns, lent or not. One that starts has its floor only, in case its earlier self lent."""
-        if self.alone or now >= self.settled:
-            return self.own
-        return max(self.before, self.floor())
+    def owned(self, now: int) -> int:
+        """Returns what this gateway owns, lent or not, in millionths. One that has just started has its floor
+        only, since its previous process may have lent the rest."""
+        if self.static or now >= self.settled_at:
+            return self.equal_share
+        return max(self.provisional, self.floor())
 
     def floor(self) -> int:
-        return int(FLOOR * self.own)
+        """Returns what is never lent, in millionths."""
+        return int(FLOOR_FRACTION * self.equal_share)
 
-    def asked(self, now: int) -> None:
-        """A GET was taken."""
-        self.gets.append(now)
-        if len(self.gets) > 4096:
-            self.gets.popleft()
+    def record_get(self, now: int) -> None:
+        """Counts a GET."""
+        self.get_times.append(now)
+        if len(self.get_times) > 4096:
+            self.get_times.popleft()
 
     def demand(self, now: int) -> float:
-        """GETs a second that this gateway takes."""
-        while self.gets and self.gets[0] <= now - SPAN:
-            self.gets.popleft()
-        usual = len(self.gets) * S / max(S, min(SPAN, now - self.begun))
-        soon = sum(1 for _ in takewhile(lambda at: at > now - SOON, reversed(self.gets)))
-        return float(soon) if soon > 2 * usual + SUDDEN else usual
-
-    def others(self, demands: list[float]) -> None:
-        """What others of the scope are asked for, in GETs a second, as far as it is known: each at most FAR
-        times the middle one. Only beats tell, which all send alike; those that ask are asked for the most."""
-        far = FAR * max(0.1, median(demands)) if demands else 0.0
-        self.usual = sum(min(far, one) for one in demands) / len(demands) if demands else 0.0
-
-    def want(self, now: int) -> int:
-        """The part that would be this gateway's if all were divided by demand."""
-        mine, usual = self.demand(now), self.usual
-        whole = mine + usual * (self.count - 1)
-        return int(WHOLE * mine / whole) if usual and whole else self.own
-
-    def sweep(self, now: int) -> None:
-        self.given = {key: lease for key, lease in self.given.items() if lease.until > now}
-        self.taken = {key: lease for key, lease in self.taken.items() if lease.until > now}
-        self.open = {key: lease for key, lease in self.open.items() if lease.until > now}
-
-    def kept(self, now: int) -> int:
-        """Its own, less what is lent."""
-        return max(0, self.base(now) - sum(lease.millionths for lease in self.given.values()))
+        """Returns the GETs a second that this gateway takes."""
+        while self.get_times and self.get_times[0] <= now - DEMAND_WINDOW:
+            self.get_times.popleft()
+        average = len(self.get_times) * S / max(S, min(DEMAND_WINDOW, now - self.started_at))
+        recent = sum(1 for _ in takewhile(lambda at: at > now - BURST_WINDOW, reversed(self.get_times)))
+        return float(recent) if recent > 2 * average + BURST_MARGIN else average
+
+    def set_peer_demands(self, demands: list[float]) -> None:
+        """Sets the known demands of the other gateways of the scope, in GETs a second; each counts up to
+        OUTLIER_FACTOR times the median. They must come from heartbeats, which all gateways send at the same
+        rate: those that request leases have the most demand."""
+        limit = OUTLIER_FACTOR * max(0.1, median(demands)) if demands else 0.0
+        self.mean_demand = sum(min(limit, demand) for demand in demands) / len(demands) if demands else 0.0
+
+    def wanted(self, now: int) -> int:
+        """Returns the share, in millionths, that would be this gateway's if the cap were divided by
+        demand."""
+        own_demand, mean_demand = self.demand(now), self.mean_demand
+        total = own_demand + mean_demand * (self.count - 1)
+        return int(CAP_MILLIONTHS * own_demand / total) if mean_demand and total else self.equal_share
+
+    def expire_leases(self, now: int) -> None:
+        """Drops expired leases and requests."""
+        self.given = {key: lease for key, lease in self.given.items() if lease.expires_at > now}
+        self.taken = {key: lease for key, lease in self.taken.items() if lease.expires_at > now}
+        self.pending = {key: lease for key, lease in self.pending.items() if lease.expires_at > now}
+
+    def retained(self, now: int) -> int:
+        """Returns what it owns less what is lent, in millionths."""
+        return max(0, self.owned(now) - sum(lease.millionths for lease in self.given.values()))
 
     def millionths(self, now: int) -> int:
-        self.sweep(now)
-        return self.kept(now) + sum(lease.millionths for lease in self.taken.values())
-
-    def part(self, now: int) -> float:
-        return self.millionths(now) / WHOLE
-
-    def asks(self, now: int, others: Iterable[tuple[int, float]]) -> list[tuple[int, wire.Ask]]:
-        """What to ask now and of whom. `others`: gateways of the scope that may be asked, in the order in
-        which they should be, with the demand they told (below zero: not known)."""
-        self.sweep(now)
-        found = []
-        short = self.want(now) - self.millionths(now)
-        least = max(1, int(LEAST * self.own))
+        """Returns what this gateway may use now, in millionths of a cap."""
+        self.expire_leases(now)
+        return self.retained(now) + sum(lease.millionths for lease in self.taken.values())
+
+    def fraction(self, now: int) -> float:
+        """Returns what this gateway may use now, as a fraction of a cap."""
+        return self.millionths(now) / CAP_MILLIONTHS
+
+    def renewals_and_requests(
+        self, now: int, candidates: Iterable[tuple[int, float]]
+    ) -> list[tuple[int, wire.LeaseRequest]]:
+        """Returns the requests to send now, with their receivers. `candidates`: gateways of the scope that
+        may be asked, in order of preference, with their reported demand (negative: unknown)."""
+        self.expire_leases(now)
+        requests = []
+        shortfall = self.wanted(now) - self.millionths(now)
+        min_lease = max(1, int(MIN_LEASE_FRACTION * self.equal_share))
         for number, lease in self.taken.items():
-            # what is no longer wanted is not asked for again, and so goes back
-            if lease.until - now <= RENEW and now - lease.asked >= AGAIN and short > -lease.millionths:
-                lease.asked = now
-                found.append(self.ask(now, lease.other, number, lease.millionths))
-        if self.alone or short < least or now < max(self.next_ask, self.settled):
-            return found
-        self.next_ask = now + AGAIN
-        busy = {lease.other for lease in (*self.taken.values(), *self.open.values())}
-        usual, most = self.usual, self.own - self.floor()
-        may = [place for place, demand in others if place not in busy and demand < usual]
-        count = min(AT_ONCE, max(1, 2 * short // max(1, self.own)))
-        for place in may[:count]:
-            if len(self.taken) + len(self.open) >= LEASES:
+            # a lease that is no longer needed is not renewed, and so returns to its lender
+            if (
+                lease.expires_at - now <= RENEW_BEFORE_END
+                and now - lease.requested_at >= REQUEST_INTERVAL
+                and shortfall > -lease.millionths
+            ):
+                lease.requested_at = now
+                requests.append(self.request(now, lease.peer, number, lease.millionths))
+        if self.static or shortfall < min_lease or now < max(self.next_request_at, self.settled_at):
+            return requests
+        self.next_request_at = now + REQUEST_INTERVAL
+        busy = {lease.peer for lease in (*self.taken.values(), *self.pending.values())}
+        mean_demand, max_lease = self.mean_demand, self.equal_share - self.floor()
+        lenders = [peer for peer, demand in candidates if peer not in busy and demand < mean_demand]
+        count = min(MAX_PARALLEL_REQUESTS, max(1, 2 * shortfall // max(1, self.equal_share)))
+        for peer in lenders[:count]:
+            if len(self.taken) + len(self.pending) >= MAX_LEASES:
                 break
-            self.number += 1
-            amount = max(least, min(most, short // count))
-            found.append(self.ask(now, place, self.number, amount))
-        return found
-
-    def ask(self, now: int, who: int, lease: int, millionths: int) -> tuple[int, wire.Ask]:
-        self.number += 1
-        self.open[self.number] = Lease(who, millionths, now + LASTS, now, lease)
-        return who, wire.Ask(self.scope, lease, self.number, millionths)
-
-    def grant(self, now: int, who: int, ask: wire.Ask) -> wire.Grant | None:
-        """What is lent for an ask, if anything. The same ask again gets the same answer, and no more."""
-        if ask.scope != self.scope or self.alone:
+            self.sequence += 1
+            amount = max(min_lease, min(max_lease, shortfall // count))
+            requests.append(self.request(now, peer, self.sequence, amount))
+        return requests
+
+    def request(self, now: int, peer: int, lease: int, millionths: int) -> tuple[int, wire.LeaseRequest]:
+        """Returns a request for a lease, new or to be renewed, and notes that it is pending."""
+        self.sequence += 1
+        self.pending[self.sequence] = Lease(peer, millionths, now + LEASE_DURATION, now, lease)
+        return peer, wire.LeaseRequest(self.scope, lease, self.sequence, millionths)
+
+    def grant(self, now: int, peer: int, request: wire.LeaseRequest) -> wire.Grant | None:
+        """Returns the grant for a request, if any. A repeated request gets the same answer and no more."""
+        if request.scope != self.scope or self.static:
             return None
-        self.sweep(now)
-        key = who, ask.lease
+        self.expire_leases(now)
+        key = peer, request.lease
         lease = self.given.get(key)
         if lease is None:
-            spare = self.kept(now) - max(self.floor(), self.want(now))
-            amount = min(ask.millionths, spare)
-            if amount < max(1, int(LEAST * self.own)) or len(self.given) >= LEASES or now < self.settled:
+            spare = self.retained(now) - max(self.floor(), self.wanted(now))
+            amount = min(request.millionths, spare)
+            if (
+                amount < max(1, int(MIN_LEASE_FRACTION * self.equal_share))
+                or len(self.given) >= MAX_LEASES
+                or now < self.settled_at
+            ):
                 return None
-            lease = self.given[key] = Lease(who, amount, 0)
-        elif self.kept(now) < KEEPS * min(self.want(now), self.own):
-            return None  # wanted here: it runs out
-        lease.until = now + self.longest()
-        return wire.Grant(self.scope, ask.lease, ask.number, lease.millionths, LASTS)
-
-    def lent(self, now: int, who: int, grant: wire.Grant) -> bool:
-        """Whether it was asked for, and of that one. It holds from when it was asked for."""
-        lease = self.open.get(grant.number)
-        if lease is None or (lease.other, lease.number, self.scope) != (who, grant.lease, grant.scope):
+            lease = self.given[key] = Lease(peer, amount, 0)
+        elif self.retained(now) < RENEWAL_THRESHOLD * min(self.wanted(now), self.equal_share):
+            return None  # needed here: the lease is left to expire
+        lease.expires_at = now + self.max_lease_duration()
+        return wire.Grant(self.scope, request.lease, request.request, lease.millionths, LEASE_DURATION)
+
+    def receive_grant(self, now: int, peer: int, grant: wire.Grant) -> bool:
+        """Accepts a grant if this gateway requested it from that peer; returns whether it did. The lease
+        counts from when it was requested."""
+        lease = self.pending.get(grant.request)
+        if lease is None or (lease.peer, lease.number, self.scope) != (peer, grant.lease, grant.scope):
             return False
-        del self.open[grant.number]
-        until = lease.asked + min(LASTS, grant.lasts)
+        del self.pending[grant.request]
+        expires_at = lease.requested_at + min(LEASE_DURATION, grant.duration)
         known = self.taken.get(grant.lease)
-        if until <= now or grant.millionths > lease.millionths or (known and known.other != who):
+        if expires_at <= now or grant.millionths > lease.millionths or (known and known.peer != peer):
             return False
-        self.taken[grant.lease] = Lease(who, grant.millionths, until, lease.asked)
+        self.taken[grant.lease] = Lease(peer, grant.millionths, expires_at, lease.requested_at)
         return True
--- a/damsonstream/peers/spread.py
+++ b/damsonstream/peers/spread.py
@@ -1,11 +1,12 @@
-"""How news goes round: what rides in the next datagrams, to whom, and under which budget. No I/O.
+"""Gossip: which items the next datagrams carry, under which byte budget. No I/O.
 
-How it is called: `tell(now, item)` puts one's own news on its way, `heard(now, item, news)` what came from
-another; `room(now, gets)` is asked before each datagram and `sent(size)` told after it; `load(now, most,
-location)` gives the items of the next one.
+Usage: `publish(now, item)` queues an item of this gateway, `receive(now, item, is_news)` handles one that
+another gateway sent. `available_bytes(now, gets_per_second)` is called before each datagram and `spend(size)`
+after it; `take_items(now, max_bytes, location)` returns the items for the next one.
 
-Each item is passed on a number of times that grows with the logarithm of the fleet; each time that it comes
-again from somebody takes one off, since then others pass it on. Nothing to tell, nothing sent.
+Each item is relayed a number of times that grows with the logarithm of the fleet's size. Each copy that comes
+in from another gateway reduces that number by one, since others relay the item already. Without items nothing
+is sent.
 """
 
 from __future__ import annotations
@@ -17,32 +18,37 @@
 
 from damsonstream.peers import wire
 
-S = 10_000
-WAITING = 128  # items on their way; over it the one passed on most goes
-STALE = 2 * S  # after which an item is no news any more, passed on or not
-GROW = 0.75  # times the natural logarithm of the fleet, and one: 200 gateways pass on up to 5 times
-BURST = 10 * S  # of silence is saved up for when something happens
-PRICE = 0.002  # part of what GETs earn that messages may cost: a hundredth of what is lost on a bad day
-MESSAGE = 256  # bytes, in which the price is told
-PLAIN = 200  # bytes a second where no price is told: some 1.6 kbit/s
-LEAST = 64  # bytes a second, of a fleet that nobody asks
+S = 10_000  # clock ticks (0.1 ms) per second
+MAX_QUEUED = 128  # over it, the item with the fewest sends left is dropped
+MAX_AGE = 2 * S  # after which an item is dropped, sent or not
+# Sends of an item: one, and this times the natural logarithm of the fleet's size. 200 gateways: 5 sends.
+SENDS_PER_LOG_SIZE = 0.75
+BURST_DURATION = 10 * S  # unspent budget accumulates for this long, to be used when something happens
+# Share of the GETs' revenue that messages may cost: a hundredth of what is lost on a bad day.
+REVENUE_FRACTION = 0.002
+COST_UNIT_BYTES = 256  # size of the message that `message_cost` is the cost of
+DEFAULT_BYTES_PER_SECOND = 200  # where no message cost is configured: some 1.6 kbit/s
+MIN_BYTES_PER_SECOND = 64  # for a fleet without traffic
 
 
 @dataclass(slots=True)
-class Waiting:
-    item: wire.News
-    left: int
-    since: int
+class QueuedItem:
+    """An item waiting to be sent."""
 
+    item: wire.GossipItem
+    sends_left: int
+    queued_at: int
 
-def key(item: wire.News) -> tuple[int, ...]:
-    """What it is news of, a later one of the same takes its place; first how urgent: sources before peers."""
+
+def item_key(item: wire.GossipItem) -> tuple[int, ...]:
+    """Returns the subject of an item, whose newer items replace older ones. The first number is the priority:
+    items on sources and zones go before those on gateways."""
     match item:
-        case wire.Beat():
+        case wire.Heartbeat():
             return 0, item.by
         case wire.Doubt():
             return 1, item.by, item.of
-        case wire.Seen():
+        case wire.OutcomeReport():
             return 2, item.by, item.source
         case wire.Trial():
             return 3, item.by, item.source
@@ -50,84 +56,98 @@
             return 4, item.zone
 
 
-def stamp(item: wire.News) -> tuple[int, int]:
-    """Which of two words of the same is the later one."""
-    return (item.epoch, item.step) if isinstance(item, wire.Zone) else (item.boot, item.beat)
+def item_version(item: wire.GossipItem) -> tuple[int, int]:
+    """Returns which of two items on the same subject is newer: the greater one."""
+    return (item.epoch, item.step) if isinstance(item, wire.Zone) else (item.boot, item.sequence)
 
 
-def older(item: wire.News, held: int) -> wire.News:
-    """As it is passed on after so long."""
-    if isinstance(item, wire.Seen) and held >= wire.AGES:
-        return structs.replace(item, age=min(255, item.age + held // wire.AGES))
+def aged(item: wire.GossipItem, held: int) -> wire.GossipItem:
+    """Returns the item with its age increased by the time that it was held here."""
+    if isinstance(item, wire.OutcomeReport) and held >= wire.AGE_UNIT:
+        return structs.replace(item, age=min(255, item.age + held // wire.AGE_UNIT))
     return item
 
 
-class Spread:
-    def __init__(self, price: float, now: int) -> None:
-        """`price`: part of all revenue that one full message a GET costs, as the settings tell; 0: none."""
-        self.price, self.count = price, 1
-        self.waiting: dict[tuple[int, ...], Waiting] = {}  # emptied by passing on, by time and by WAITING
-        self.saved, self.saved_at = 2.0 * wire.MOST, now
+class Gossip:
+    """One gateway's queue of items to relay, and its byte budget."""
+
+    def __init__(self, message_cost: float, now: int) -> None:
+        """`message_cost`: the configured share of all revenue that one full message per GET would cost; 0:
+        not configured."""
+        self.message_cost, self.fleet_size = message_cost, 1
+        # by item_key; emptied as items are sent, by MAX_AGE and by MAX_QUEUED
+        self.queue: dict[tuple[int, ...], QueuedItem] = {}
+        self.available, self.refilled_at = 2.0 * wire.MAX_DATAGRAM_BYTES, now
 
-    def times(self) -> int:
-        return 1 + math.ceil(GROW * math.log(max(2, self.count)))
+    def max_sends(self) -> int:
+        """Returns how often each gateway sends an item."""
+        return 1 + math.ceil(SENDS_PER_LOG_SIZE * math.log(max(2, self.fleet_size)))
 
-    def tell(self, now: int, item: wire.News) -> None:
-        self.put(now, item, self.times())
+    def publish(self, now: int, item: wire.GossipItem) -> None:
+        """Queues an item of this gateway."""
+        self.enqueue(now, item, self.max_sends())
 
-    def heard(self, now: int, item: wire.News, news: bool) -> None:
-        if news:
-            self.put(now, item, self.times() - 1)
+    def receive(self, now: int, item: wire.GossipItem, is_news: bool) -> None:
+        """Queues an item of another gateway if it is news; else counts it as a copy of a queued one."""
+        if is_news:
+            self.enqueue(now, item, self.max_sends() - 1)
             return
-        known = self.waiting.get(key(item))
-        if known is not None and stamp(known.item) == stamp(item):
-            known.left -= 1
-            if known.left <= 0:
-                del self.waiting[key(item)]
-
-    def put(self, now: int, item: wire.News, left: int) -> None:
-        if left <= 0:
+        queued = self.queue.get(item_key(item))
+        if queued is not None and item_version(queued.item) == item_version(item):
+            queued.sends_left -= 1
+            if queued.sends_left <= 0:
+                del self.queue[item_key(item)]
+
+    def enqueue(self, now: int, item: wire.GossipItem, sends_left: int) -> None:
+        if sends_left <= 0:
             return
-        self.waiting[key(item)] = Waiting(item, left, now)
-        if len(self.waiting) > WAITING:
-            del self.waiting[min(self.waiting, key=lambda k: self.waiting[k].left)]
-
-    def rate(self, gets: float) -> float:
-        """Bytes a second that this gateway may send, by the GETs a second that one is asked for."""
-        return max(LEAST, PRICE / self.price * MESSAGE * gets) if self.price > 0 else PLAIN
-
-    def room(self, now: int, gets: float) -> int:
-        """Bytes that the budget allows just now."""
-        rate = self.rate(gets)
-        most = max(2.0 * wire.MOST, rate * BURST / S)
-        self.saved = min(most, self.saved + rate * (now - self.saved_at) / S)
-        self.saved_at = now
-        return int(self.saved)
-
-    def sent(self, size: int) -> None:
-        self.saved -= size
-
-    def load(self, now: int, most: int, location: int) -> list[wire.News]:
-        """The items for one datagram to a gateway of that location (below zero: not known), newest first;
-        each loses one of its times."""
-        for one in [k for k, w in self.waiting.items() if now - w.since > STALE]:
-            del self.waiting[one]
-        chosen: list[wire.News] = []
-        ranked = sorted(self.waiting.items(), key=lambda e: (-e[0][0], -e[1].left, -e[1].since))
-        for one, waiting in ranked:
-            item = waiting.item
+        self.queue[item_key(item)] = QueuedItem(item, sends_left, now)
+        if len(self.queue) > MAX_QUEUED:
+            del self.queue[min(self.queue, key=lambda k: self.queue[k].sends_left)]
+
+    def bytes_per_second(self, gets_per_second: float) -> float:
+        """Returns how many bytes a second this gateway may send at a given mean of GETs per gateway."""
+        return (
+            max(
+                MIN_BYTES_PER_SECOND, REVENUE_FRACTION / self.message_cost * COST_UNIT_BYTES * gets_per_second
+            )
+            if self.message_cost > 0
+            else DEFAULT_BYTES_PER_SECOND
+        )
+
+    def available_bytes(self, now: int, gets_per_second: float) -> int:
+        """Refills the token bucket and returns how many bytes it holds."""
+        rate = self.bytes_per_second(gets_per_second)
+        capacity = max(2.0 * wire.MAX_DATAGRAM_BYTES, rate * BURST_DURATION / S)
+        self.available = min(capacity, self.available + rate * (now - self.refilled_at) / S)
+        self.refilled_at = now
+        return int(self.available)
+
+    def spend(self, size: int) -> None:
+        self.available -= size
+
+    def take_items(self, now: int, max_bytes: int, location: int) -> list[wire.GossipItem]:
+        """Returns the items for one datagram to a gateway of that location (negative: unknown), those on
+        sources and zones first, then those with the most sends left. Each item has one send less
+        afterwards."""
+        for key in [k for k, w in self.queue.items() if now - w.queued_at > MAX_AGE]:
+            del self.queue[key]
+        chosen: list[wire.GossipItem] = []
+        ranked = sorted(self.queue.items(), key=lambda e: (-e[0][0], -e[1].sends_left, -e[1].queued_at))
+        for key, queued in ranked:
+            item = queued.item
             if (
-                isinstance(item, (wire.Seen, wire.Trial))
-                and item.location not in (wire.EVERYWHERE, location)
+                isinstance(item, (wire.OutcomeReport, wire.Trial))
+                and item.location not in (wire.ALL_LOCATIONS, location)
                 and location >= 0
             ):
                 continue
-            size = wire.size(item)
-            if size > most:
+            size = wire.encoded_size(item)
+            if size > max_bytes:
                 continue
-            most -= size
-            chosen.append(older(item, now - waiting.since))
-            waiting.left -= 1
-            if waiting.left <= 0:
-                del self.waiting[one]
+            max_bytes -= size
+            chosen.append(aged(item, now - queued.queued_at))
+            queued.sends_left -= 1
+            if queued.sends_left <= 0:
+                del self.queue[key]
         return chosen
--- a/damsonstream/peers/subsets.py
+++ b/damsonstream/peers/subsets.py
@@ -1,16 +1,18 @@
-"""Who watches what: which gateways look after a cache for all, so that each is looked after by enough and
-nobody by all. No I/O.
+"""Subsetting: which gateways watch a source or cache for the fleet. Each source has enough watchers, and no
+gateway watches all. No I/O.
 
-How it is called: `watchers(places, source, most)` are those of one source; `subset(me, places, sources,
-each)` is what one gateway looks after; `spread(places, sources, each)` tells how even that is.
+Usage: `assign(gateways, sources, watchers_each)` returns the watchers of each source; `subset(own_index,
+gateways, sources, watchers_each)` the sources that one gateway watches; `load_range(gateways, sources,
+watchers_each)` how evenly they are spread.
 
-Rendezvous order with a bound: sources are gone through in one mixed order, and each takes the first `each`
-gateways in its own rendezvous order that have room. Room is the mean and a quarter. One gateway or source
-more or less moves its own part and little else. All that is needed is the same lists, so that gateways with
-the same list agree without a word, and those whose lists differ for a while differ in few places.
+The method is rendezvous hashing with bounded loads. Sources are handled in one pseudo-random order, and each
+takes the first `watchers_each` gateways of its own rendezvous order that have capacity left, which is the
+mean load and a quarter. Adding or removing one gateway or source changes its own assignments and few others.
+The input is only the two lists: gateways with the same lists agree without communication, and while lists
+differ, the results differ in few places.
 
-An object's place in hash order is no matter of this: every gateway may send a GET to any cache of its
-location, and the source of a fill is one of all parents.
+Subsets don't affect how objects are hashed: every gateway may send a GET to any cache of its location, and
+the source of a fill is chosen among all parents.
 """
 
 from __future__ import annotations
@@ -20,36 +22,40 @@
 
 from damsonstream.peers import order
 
-SLACK = 1.25  # over the mean: less moves more as lists change, more is uneven
-MIXED = 0x5AB5E7  # any number, for the order in which sources choose
-
-
-def assigned(places: Sequence[int], sources: Iterable[int], each: int) -> dict[int, list[int]]:
-    """The gateways that look after each source; fewer than `each` only where there are fewer gateways."""
-    listed = sorted(set(sources), key=lambda source: (order.weight(source, MIXED), source))
-    each = min(each, len(places))
-    if not listed or not each:
-        return {source: [] for source in listed}
-    room = max(1, math.ceil(SLACK * len(listed) * each / len(places)))
-    held = dict.fromkeys(places, 0)
-    found: dict[int, list[int]] = {}
-    for source in listed:
-        ranked = sorted(places, key=lambda place: (order.weight(place, source), place))
-        chosen = [place for place in ranked if held[place] < room][:each]
-        for place in chosen:
-            held[place] += 1
-        found[source] = chosen
-    return found
-
-
-def subset(me: int, places: Sequence[int], sources: Iterable[int], each: int) -> set[int]:
-    return {source for source, chosen in assigned(places, sources, each).items() if me in chosen}
-
-
-def spread(places: Sequence[int], sources: Sequence[int], each: int) -> tuple[int, int]:
-    """The most and the least that one gateway looks after."""
-    held = dict.fromkeys(places, 0)
-    for chosen in assigned(places, sources, each).values():
-        for place in chosen:
-            held[place] += 1
-    return (max(held.values()), min(held.values())) if held else (0, 0)
+# Capacity of a gateway over the mean load: less moves more assignments as lists change, more is less even.
+LOAD_SLACK = 1.25
+ORDER_KEY = 0x5AB5E7  # arbitrary key of the order in which sources choose their watchers
+
+
+def assign(gateways: Sequence[int], sources: Iterable[int], watchers_each: int) -> dict[int, list[int]]:
+    """Returns the watchers of each source; fewer than `watchers_each` only if there are fewer gateways."""
+    ordered = sorted(set(sources), key=lambda source: (order.weight(source, ORDER_KEY), source))
+    watchers_each = min(watchers_each, len(gateways))
+    if not ordered or not watchers_each:
+        return {source: [] for source in ordered}
+    capacity = max(1, math.ceil(LOAD_SLACK * len(ordered) * watchers_each / len(gateways)))
+    load = dict.fromkeys(gateways, 0)
+    assignment: dict[int, list[int]] = {}
+    for source in ordered:
+        ranked = sorted(gateways, key=lambda gateway: (order.weight(gateway, source), gateway))
+        chosen = [gateway for gateway in ranked if load[gateway] < capacity][:watchers_each]
+        for gateway in chosen:
+            load[gateway] += 1
+        assignment[source] = chosen
+    return assignment
+
+
+def subset(own_index: int, gateways: Sequence[int], sources: Iterable[int], watchers_each: int) -> set[int]:
+    """Returns the sources that one gateway watches."""
+    return {
+        source for source, chosen in assign(gateways, sources, watchers_each).items() if own_index in chosen
+    }
+
+
+def load_range(gateways: Sequence[int], sources: Sequence[int], watchers_each: int) -> tuple[int, int]:
+    """Returns the largest and the smallest number of sources that one gateway watches."""
+    load = dict.fromkeys(gateways, 0)
+    for chosen in assign(gateways, sources, watchers_each).values():
+        for gateway in chosen:
+            load[gateway] += 1
+    return (max(load.values()), min(load.values())) if load else (0, 0)
--- a/damsonstream/peers/wire.py
+++ b/damsonstream/peers/wire.py
@@ -1,9 +1,14 @@
-"""Datagrams between gateways: bytes in, messages out, and back. No sockets, no clock.
+"""Datagrams between gateways: encoding, decoding and duplicate detection. No sockets, no clock.
 
-How it is called: `pack(Datagram(...))` gives at most `MOST` bytes or raises `TooLong`; `read(data)` gives a
-`Datagram` or raises `Unreadable`, whose text is the reason code under which it is counted. Written with
-msgspec's MessagePack: each record is an array, whose first field is the form or the kind. What a field may
-hold stands at its type, so that no nonsense (counts below zero, places far off) passes this door.
+Usage: `encode(Datagram(...))` returns at most `MAX_DATAGRAM_BYTES` or raises `DatagramTooLong`;
+`decode(data)` returns a `Datagram` or raises `UnreadableDatagram`, whose text is the reason code under
+which the datagram is counted. The format is MessagePack, written with msgspec: each record is an array
+whose first field is the format version (datagram) or the tag (item), and fields go by position. The field
+types limit each value to its valid range, so that invalid input (negative counts, indexes out of range) is
+refused here.
+
+`boot` is a gateway's incarnation number: the tenth of a second, on the system clock, in which its process
+started. A higher boot of the same gateway is a later process.
 """
 
 from __future__ import annotations
@@ -13,160 +18,169 @@
 import msgspec
 from msgspec import Meta, Struct
 
-FORM = 1  # of this record; a gateway drops what has another
-MOST = 256  # bytes of a datagram, the protocol's
+FORMAT_VERSION = 1  # a gateway drops datagrams of any other version
+MAX_DATAGRAM_BYTES = 256  # limit of the protocol
 
-Place = Annotated[int, Meta(ge=0, le=65_535)]  # in the list of peers
-Count = Annotated[int, Meta(ge=0, le=255)]  # of finished forwards in a window; more are told as so many
-Word32 = Annotated[int, Meta(ge=0, le=0xFFFFFFFF)]  # a source by its hash, a boot, a lease
-Serial = Annotated[int, Meta(ge=0, le=1 << 40)]
+PeerIndex = Annotated[int, Meta(ge=0, le=65_535)]  # index in the list of peers; also used for locations
+# A count of finished forwards in a window; larger counts are sent as 255.
+CappedCount = Annotated[int, Meta(ge=0, le=255)]
+U32 = Annotated[int, Meta(ge=0, le=0xFFFFFFFF)]  # the hash of a source, a boot, a lease number
+SequenceNumber = Annotated[int, Meta(ge=0, le=1 << 40)]
 
 
-class Beat(Struct, array_like=True, frozen=True, tag=0):
-    """That a gateway runs, and what it is asked for. `by` is whose beat it is, whoever passes it on."""
+class Heartbeat(Struct, array_like=True, frozen=True, tag=0):
+    """Says that a gateway runs, and how many GETs it takes. `gateway` is the one that runs, whoever relays
+    it."""
 
-    by: Place
-    boot: Word32
-    beat: Serial
-    location: Place
-    demand: Word32  # GETs a second, in hundredths; 0: not known yet
-    echo: Serial = 0  # the beat of whom it is sent to that was heard last: both ways work
+    by: PeerIndex
+    boot: U32
+    sequence: SequenceNumber
+    location: PeerIndex
+    demand: U32  # GETs a second, in hundredths; 0: not known yet
+    echo: SequenceNumber = (
+        0  # the receiver's last heartbeat that the sender received: shows both directions work
+    )
 
 
 class Doubt(Struct, array_like=True, frozen=True, tag=1):
-    """`by` watches `of`, and has not heard it since that beat of that boot."""
-
-    by: Place
-    of: Place
-    boot: Word32
-    beat: Serial
-
-
-class Seen(Struct, array_like=True, frozen=True, tag=2):
-    """What `by` saw lately of a source or cache: good and bad ends of forwards in its own window."""
-
-    by: Place
-    boot: Word32
-    beat: Serial  # grows with each one that `by` tells of this source
-    source: Word32
-    location: Place  # 65,535: it concerns all, else gateways of this location
-    good: Count
-    bad: Count
-    age: Count = (
-        0  # tenths of a second since the last of those ends, as it was sent; whoever holds it adds to it
+    """`reporter`, a neighbor of `suspect`, has received no heartbeat of it newer than this one."""
+
+    by: PeerIndex
+    of: PeerIndex
+    boot: U32
+    sequence: SequenceNumber
+
+
+class OutcomeReport(Struct, array_like=True, frozen=True, tag=2):
+    """The outcomes of forwards to a source or cache in the recent window of `gateway`."""
+
+    by: PeerIndex
+    boot: U32
+    sequence: SequenceNumber  # increases with each report of this gateway on this source
+    source: U32
+    location: PeerIndex  # ALL_LOCATIONS, or the only location whose gateways it concerns
+    successes: CappedCount
+    failures: CappedCount
+    age: CappedCount = (
+        0  # tenths of a second since the last of those outcomes; each relay adds its holding time
     )
 
 
 class Trial(Struct, array_like=True, frozen=True, tag=3):
-    """A trial of a source: begun (0), good (1) or bad (2)."""
+    """A trial of a source by `gateway`. `state`: begun (0), succeeded (1) or failed (2)."""
 
-    by: Place
-    boot: Word32
-    beat: Serial
-    source: Word32
-    location: Place
+    by: PeerIndex
+    boot: U32
+    sequence: SequenceNumber
+    source: U32
+    location: PeerIndex
     state: Annotated[int, Meta(ge=0, le=2)]
 
 
-class Ask(Struct, array_like=True, frozen=True, tag=4):
-    """For a part of a cap, in millionths of it; a lease that runs is asked for again under its number."""
+class LeaseRequest(Struct, array_like=True, frozen=True, tag=4):
+    """Asks for a share of a cap, in millionths of it. A running lease is renewed under its own number."""
 
-    scope: Place  # 65,535: caps of all gateways, else those of this location
-    lease: Word32
-    number: Word32  # of the ask: an answer to an earlier one must not hold for a later one
+    scope: PeerIndex  # ALL_LOCATIONS: caps of the whole fleet; else caps of this location
+    lease: U32
+    request: U32  # number of the request: a grant for an earlier request must not count for a later one
     millionths: Annotated[int, Meta(ge=1, le=1_000_000)]
 
 
 class Grant(Struct, array_like=True, frozen=True, tag=5):
-    """What is lent, for so long from when that ask was made."""
+    """A share that is lent for `duration`, counted from when the request was made."""
 
-    scope: Place
-    lease: Word32
-    number: Word32
+    scope: PeerIndex
+    lease: U32
+    request: U32
     millionths: Annotated[int, Meta(ge=1, le=1_000_000)]
-    lasts: Annotated[int, Meta(ge=1, le=600_000)]  # tenths of a millisecond
+    duration: Annotated[int, Meta(ge=1, le=600_000)]  # tenths of a millisecond
 
 
 class Zone(Struct, array_like=True, frozen=True, tag=6):
-    """What is believed of a zone (tiers/verdicts.py), whoever tells it."""
+    """The sender's verdict on a zone (tiers/verdicts.py). It names no gateway, since all hold the same."""
 
-    zone: Word32  # by its hash
-    epoch: Place
-    step: Place
+    zone: U32  # hash of the zone's name
+    epoch: PeerIndex
+    step: PeerIndex
     state: Annotated[int, Meta(ge=0, le=2)]  # well, returning or lost
     progress: Annotated[int, Meta(ge=0, le=100)]
-    flaps: Count
+    flaps: CappedCount
 
 
-News = Beat | Doubt | Seen | Trial | Zone  # passed on from one to the next
-Item = News | Ask | Grant  # the last two are between two gateways
-EVERYWHERE = 65_535
-AGES = 1_000  # tenths of a millisecond that one of an age is
+# Items that are relayed through the fleet.
+GossipItem = Heartbeat | Doubt | OutcomeReport | Trial | Zone
+Item = GossipItem | LeaseRequest | Grant  # the last two pass between two gateways only
+ALL_LOCATIONS = 65_535
+AGE_UNIT = 1_000  # clock ticks (0.1 ms) per unit of `OutcomeReport.age`
 
 
 class Datagram(Struct, array_like=True, frozen=True):
-    form: int
-    name: Annotated[str, Meta(max_length=32)]  # the sender's, as in its configuration
-    place: Place
-    boot: Word32
-    number: Serial  # grows with each datagram of this boot
+    """One datagram: its sender, its sequence number and its items."""
+
+    version: int
+    name: Annotated[str, Meta(max_length=32)]  # the sender's name in its configuration
+    sender: PeerIndex
+    boot: U32
+    sequence: SequenceNumber  # increases with each datagram of this boot
     items: Annotated[list[Item], Meta(max_length=64)]
 
 
 class Unreadable(Exception):
-    """Reason code: long, form or garbled."""
+    """The datagram can't be used. The text is a reason code: `long` (over the size limit), `form` (another
+    format version) or `garbled` (not decodable)."""
 
 
-class TooLong(Exception):
-    """It does not fit into one datagram."""
+class DatagramTooLong(Exception):
+    """The items do not fit into one datagram."""
 
 
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Datagram)
 
 
-def pack(datagram: Datagram) -> bytes:
+def encode(datagram: Datagram) -> bytes:
     data = ENCODER.encode(datagram)
-    if len(data) > MOST:
-        raise TooLong
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise DatagramTooLong
     return data
 
 
-def size(item: Item) -> int:
-    """Bytes that it takes in a datagram."""
+def encoded_size(item: Item) -> int:
+    """Returns the number of bytes that an item takes in a datagram."""
     return len(ENCODER.encode(item))
 
 
 def read(data: bytes) -> Datagram:
-    if len(data) > MOST:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise Unreadable("long")
     try:
         datagram = DECODER.decode(data)
-    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
-        raise Unreadable("garbled") from fault
-    if datagram.form != FORM:
+    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
+        raise Unreadable("garbled") from error
+    if datagram.version != FORMAT_VERSION:
         raise Unreadable("form")
     return datagram
 
 
-class Seen64:
-    """Which datagrams of one sender came: none counts twice, and one of an earlier boot never."""
+class ReplayWindow:
+    """Tracks the sequence numbers received from one sender: `accept` returns False for duplicates, for
+    numbers more than 63 behind the highest, and for datagrams of an earlier boot."""
 
     def __init__(self) -> None:
-        self.boot, self.top, self.bits = -1, -1, 0
+        self.boot, self.highest, self.seen_bits = -1, -1, 0
 
-    def fresh(self, boot: int, number: int) -> bool:
+    def accept(self, boot: int, sequence: int) -> bool:
         if boot < self.boot:
             return False
         if boot > self.boot:
-            self.boot, self.top, self.bits = boot, number, 1
+            self.boot, self.highest, self.seen_bits = boot, sequence, 1
             return True
-        if number > self.top:
-            self.bits = ((self.bits << min(64, number - self.top)) | 1) & ((1 << 64) - 1)
-            self.top = number
+        if sequence > self.highest:
+            self.seen_bits = ((self.seen_bits << min(64, sequence - self.highest)) | 1) & ((1 << 64) - 1)
+            self.highest = sequence
             return True
-        back = self.top - number
-        if back >= 64 or self.bits >> back & 1:
+        offset = self.highest - sequence
+        if offset >= 64 or self.seen_bits >> offset & 1:
             return False
-        self.bits |= 1 << back
+        self.seen_bits |= 1 << offset
         return True
--- a/damsonstream/virtual/fleet.py
+++ b/damsonstream/virtual/fleet.py
@@ -1,9 +1,10 @@
-"""A fleet of gateways in virtual time: the pure modules of `peers` alone, without sockets or processes.
+"""Simulates a fleet of gateways in virtual time, with the sans-I/O modules of `peers` alone: no sockets or
+processes.
 
-How it is called: `Fleet(count, seed, ...)`, then `until(when)`; `at(when, what)` lets something happen.
-Each gateway has a `Council`, a clock of its own, a demand, and a breaker for each source in its plainest
-form: a run of five bad fills opens it, and two good trials close it. Sources are well or dead by the
-script. All chance comes from the seed; events at one instant go by the order in which they were set.
+Usage: `Fleet(count, seed, ...)`, then `until(when)` runs it; `at(when, what)` schedules an event, such as a
+kill. Each gateway has a `PeerAgent`, a clock offset, a demand, and a simplified breaker for each source: five
+failed fills in a row open it, and two successful trials close it. The caller decides when sources are dead.
+All randomness comes from the seed; events at the same time run in the order in which they were scheduled.
 """
 
 from __future__ import annotations
@@ -17,229 +18,265 @@
 from damsonstream.peers.pieces import PIECES
 from damsonstream.virtual.links import MS, Links, S
 
-RUN = 5  # bad fills in a row open a source: the router's own least count
-COOL = 5 * S  # the design's cool-down, and its jitter
+FAILURES_TO_OPEN = 5  # failed fills in a row that open a breaker: the router's minimum
+COOLDOWN = 5 * S  # the router's default, with its jitter
 JITTER = 0.25
-OVERDUE = 400 * MS  # for a fill of a dead source to be seen as bad
-SPACING = S // 2
+FILL_TIMEOUT = 400 * MS  # after which a fill from a dead source counts as failed
+TRIAL_SPACING = S // 2
 
 
 @dataclass(slots=True)
-class Switch:
-    """The breaker of one gateway for one source, as far as a fleet's behaviour depends on it."""
+class Breaker:
+    """A simplified breaker of one gateway for one source, with what the fleet's behaviour depends on."""
 
-    run: int = 0
+    failures: int = 0  # in a row
     open: bool = False
-    until: int = 0
-    trying: bool = False
-    good: int = 0
+    retry_at: int = 0  # earliest next trial
+    trying: bool = False  # a trial is under way
+    successes: int = 0  # successful trials in a row
     opened_at: int = -1
 
 
 @dataclass(slots=True)
 class Gateway:
-    place: int
-    council: Council
-    offset: int  # of its clock
-    demand: float
-    switches: list[Switch]
+    """One simulated gateway process and its state."""
+
+    index: int
+    agent: Council
+    clock_offset: int  # of its clock to virtual time
+    demand: float  # GETs a second
+    breakers: list[Breaker]
     alive: bool = True
     stalled_until: int = 0
-    boots: int = 1
-    waiting: list[tuple[int, bytes]] = field(default_factory=list)  # datagrams that came while it stood still
+    boot_count: int = 1
+    undelivered: list[tuple[int, bytes]] = field(default_factory=list)  # datagrams that came during a stall
     bytes_out: int = 0
 
 
 class Fleet(Engine):
     def __init__(
         self, count: int, seed: int, *, sources: int = 4, demands: Iterable[float] | None = None,
-        links: Links | None = None, price: float = 0.01, pieces: frozenset[str] = frozenset(PIECES),
-        locations: int = 1, clocks: int = 3 * S, fills: float = 0.3,
+        links: Links | None = None, message_cost: float = 0.01, features: frozenset[str] = frozenset(PIECES),
+        locations: int = 1, max_clock_offset: int = 3 * S, fills_per_get: float = 0.3,
     ) -> None:  # fmt: skip
-        """`demands`: GETs a second by gateway; `fills`: fills for each GET; `clocks`: how far apart."""
+        """`demands`: GETs a second by gateway; `fills_per_get`: fills for each GET; `max_clock_offset`: how
+        far the gateways' clocks may be apart."""
         super().__init__()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.links = links or Links(random.Random(seed + 1))
-        self.count, self.price, self.pieces, self.locations = count, price, pieces, locations
-        self.fills = fills
+        self.count, self.message_cost, self.features, self.location_count = (
+            count,
+            message_cost,
+            features,
+            locations,
+        )
+        self.fills_per_get = fills_per_get
         self.sources = [0x1000 + 17 * n for n in range(sources)]
-        self.dead: set[int] = set()  # places in `sources`
-        self.dead_for: Callable[[int, int], bool] = lambda place, source: source in self.dead
-        self.trials: list[tuple[int, int, int, bool]] = []  # when, gateway, source, whether it was well
-        self.wasted = 0  # fills asked of dead sources, trials included
-        self.worst = {"near": 0.0, "far": 0.0}  # the largest sum of parts ever seen
-        wanted = list(demands) if demands is not None else [5.0] * count
+        self.dead_sources: set[int] = set()  # indexes in `sources`
+        self.is_dead_for: Callable[[int, int], bool] = lambda gateway, source: source in self.dead_sources
+        self.trials: list[tuple[int, int, int, bool]] = []  # time, gateway, source, whether it succeeded
+        self.wasted_fills = 0  # fills sent to dead sources, trials included
+        # largest sum of shares at any time; near: of one location, far: of the fleet
+        self.max_share_sum = {"near": 0.0, "far": 0.0}
+        gateway_demands = list(demands) if demands is not None else [5.0] * count
         self.gateways: list[Gateway] = []
-        for place in range(count):
-            offset = self.chance.randrange(clocks + 1)
+        for index in range(count):
+            clock_offset = self.rng.randrange(max_clock_offset + 1)
             self.gateways.append(
-                Gateway(place, self.council(place, offset), offset, wanted[place],
-                        [Switch() for _ in self.sources])
+                Gateway(index, self.new_agent(index, clock_offset), clock_offset, gateway_demands[index],
+                        [Breaker() for _ in self.sources])
             )  # fmt: skip
-            self.enlist(self.gateways[place])
-
-    def council(self, place: int, offset: int, boots: int = 1) -> Council:
-        at_home = sum(1 for other in range(self.count) if other % self.locations == place % self.locations)
-        council = Council(f"n{place}", place, self.count, place % self.locations, at_home,
-                          1000 + self.now // 1000 + boots, self.price, self.chance.getrandbits(32),
-                          self.now + offset, self.pieces)  # fmt: skip
-        council.listed((), tuple(self.sources))
-        return council
-
-    def enlist(self, gateway: Gateway) -> None:
-        council = gateway.council
-        self.after(self.chance.randrange(TURN), lambda: self.turn(gateway, council))
-        self.after(self.wait(gateway.demand), lambda: self.get(gateway, council))
-
-    def wait(self, rate: float) -> int:
-        return max(1, int(self.chance.expovariate(max(rate, 1e-9)) * S))
-
-    # what happens to processes
-
-    def kill(self, place: int) -> None:
-        self.gateways[place].alive = False
-
-    def restart(self, place: int) -> None:
-        gateway = self.gateways[place]
-        gateway.boots += 1
-        gateway.council = self.council(place, gateway.offset, gateway.boots)
-        gateway.switches = [Switch() for _ in self.sources]
-        gateway.alive, gateway.waiting = True, []
-        self.enlist(gateway)
-
-    def stall(self, place: int, lasts: int) -> None:
-        gateway = self.gateways[place]
-        gateway.stalled_until = self.now + lasts
-
-        def wake() -> None:
-            council, waiting, gateway.waiting = gateway.council, gateway.waiting, []
-            for sender, data in waiting:
-                self.arrive(gateway, council, sender, data)
-
-        self.after(lasts, wake)
-
-    # what a gateway does
-
-    def runs(self, gateway: Gateway, council: Council) -> bool:
-        return gateway.alive and gateway.council is council
-
-    def turn(self, gateway: Gateway, council: Council) -> None:
-        if not self.runs(gateway, council):
+            self.start_loops(self.gateways[index])
+
+    def new_agent(self, index: int, clock_offset: int, boot_count: int = 1) -> Council:
+        """Returns the agent of a gateway that starts."""
+        location_size = sum(
+            1 for other in range(self.count) if other % self.location_count == index % self.location_count
+        )
+        agent = Council(f"n{index}", index, self.count, index % self.location_count, location_size,
+                        1000 + self.now // 1000 + boot_count, self.message_cost, self.rng.getrandbits(32),
+                        self.now + clock_offset, self.features)  # fmt: skip
+        agent.listed((), tuple(self.sources))
+        return agent
+
+    def start_loops(self, gateway: Gateway) -> None:
+        """Schedules the first poll and the first GET of a gateway."""
+        agent = gateway.agent
+        self.after(self.rng.randrange(TURN), lambda: self.poll_agent(gateway, agent))
+        self.after(self.random_interval(gateway.demand), lambda: self.send_get(gateway, agent))
+
+    def random_interval(self, rate: float) -> int:
+        """Returns an exponentially distributed interval for a rate per second."""
+        return max(1, int(self.rng.expovariate(max(rate, 1e-9)) * S))
+
+    # process events
+
+    def kill(self, index: int) -> None:
+        """Ends a gateway's process without notice."""
+        self.gateways[index].alive = False
+
+    def restart(self, index: int) -> None:
+        """Starts a gateway's process again, with a later boot and empty state."""
+        gateway = self.gateways[index]
+        gateway.boot_count += 1
+        gateway.agent = self.new_agent(index, gateway.clock_offset, gateway.boot_count)
+        gateway.breakers = [Breaker() for _ in self.sources]
+        gateway.alive, gateway.undelivered = True, []
+        self.start_loops(gateway)
+
+    def stall(self, index: int, duration: int) -> None:
+        """Stops a gateway's process for that time; datagrams wait in its socket."""
+        gateway = self.gateways[index]
+        gateway.stalled_until = self.now + duration
+
+        def resume() -> None:
+            agent, undelivered, gateway.undelivered = gateway.agent, gateway.undelivered, []
+            for sender, data in undelivered:
+                self.deliver(gateway, agent, sender, data)
+
+        self.after(duration, resume)
+
+    # behaviour of a gateway
+
+    def is_current(self, gateway: Gateway, agent: Council) -> bool:
+        """Returns whether this process of the gateway still runs."""
+        return gateway.alive and gateway.agent is agent
+
+    def poll_agent(self, gateway: Gateway, agent: Council) -> None:
+        """Polls the agent, sends its datagrams and schedules the next poll."""
+        if not self.is_current(gateway, agent):
             return
         if self.now < gateway.stalled_until:
-            return self.at(gateway.stalled_until, lambda: self.turn(gateway, council))
-        out, told = council.due(self.now + gateway.offset)
-        for one in told:
-            self.hear(gateway, one.source, one.what)
-        for place, data in out:
-            self.send(gateway, place, data)
-        self.after(TURN, lambda: self.turn(gateway, council))
-
-    def send(self, gateway: Gateway, place: int, data: bytes) -> None:
+            return self.at(gateway.stalled_until, lambda: self.poll_agent(gateway, agent))
+        out, verdicts = agent.due(self.now + gateway.clock_offset)
+        for verdict in verdicts:
+            self.apply_verdict(gateway, verdict.source, verdict.what)
+        for receiver, data in out:
+            self.send(gateway, receiver, data)
+        self.after(TURN, lambda: self.poll_agent(gateway, agent))
+
+    def send(self, gateway: Gateway, receiver: int, data: bytes) -> None:
+        """Schedules the arrival of each copy of a datagram that the links deliver."""
         gateway.bytes_out += len(data)
-        other = self.gateways[place]
-        for delay in self.links.ways(self.now, gateway.place, place):
-            self.after(delay, lambda: self.arrive(other, other.council, gateway.place, data))
+        other = self.gateways[receiver]
+        for delay in self.links.delivery_delays(self.now, gateway.index, receiver):
+            self.after(delay, lambda: self.deliver(other, other.agent, gateway.index, data))
 
-    def arrive(self, gateway: Gateway, council: Council, sender: int, data: bytes) -> None:
-        if not self.runs(gateway, council):
+    def deliver(self, gateway: Gateway, agent: Council, sender: int, data: bytes) -> None:
+        """Passes a datagram to the agent, or keeps it while the process is stalled."""
+        if not self.is_current(gateway, agent):
             return
         if self.now < gateway.stalled_until:
-            gateway.waiting.append((sender, data))
+            gateway.undelivered.append((sender, data))
             return
-        for one in council.heard(self.now + gateway.offset, sender, data):
-            self.hear(gateway, one.source, one.what)
-
-    def hear(self, gateway: Gateway, source: int, what: str) -> None:
-        switch = gateway.switches[self.sources.index(source)]
-        if what == ("bad" if switch.open else "dead"):
-            self.open(switch)
-        elif what == "well" and switch.open:
-            switch.open, switch.run, switch.good = False, 0, 0
-        elif what == "good" and switch.open:
-            switch.good, switch.trying, switch.until = 1, False, self.now
-
-    def open(self, switch: Switch) -> None:
-        if not switch.open:
-            switch.opened_at = self.now
-        switch.open, switch.good, switch.trying = True, 0, False
-        switch.until = self.now + int(COOL * (1 + JITTER * self.chance.random()))
-
-    def may_try(self, gateway: Gateway, number: int, local: int) -> bool:
-        """Whether a trial of an open source may go now, and is this gateway's to make."""
-        switch = gateway.switches[number]
-        ready = self.now >= switch.until and not switch.trying
-        since = switch.until + gateway.offset
-        return ready and gateway.council.turn(local, self.sources[number], False, since)
-
-    def get(self, gateway: Gateway, council: Council) -> None:
-        if not self.runs(gateway, council):
+        for verdict in agent.heard(self.now + gateway.clock_offset, sender, data):
+            self.apply_verdict(gateway, verdict.source, verdict.what)
+
+    def apply_verdict(self, gateway: Gateway, source: int, verdict: str) -> None:
+        """Changes a breaker by a verdict of the fleet, as the router does."""
+        breaker = gateway.breakers[self.sources.index(source)]
+        if verdict == ("bad" if breaker.open else "dead"):
+            self.open_breaker(breaker)
+        elif verdict == "well" and breaker.open:
+            breaker.open, breaker.failures, breaker.successes = False, 0, 0
+        elif verdict == "good" and breaker.open:
+            breaker.successes, breaker.trying, breaker.retry_at = 1, False, self.now
+
+    def open_breaker(self, breaker: Breaker) -> None:
+        """Opens a breaker, or starts its cooldown again."""
+        if not breaker.open:
+            breaker.opened_at = self.now
+        breaker.open, breaker.successes, breaker.trying = True, 0, False
+        breaker.retry_at = self.now + int(COOLDOWN * (1 + JITTER * self.rng.random()))
+
+    def may_try(self, gateway: Gateway, source_index: int, local: int) -> bool:
+        """Returns whether this gateway may run a trial of an open source now. `local`: its own clock's
+        time."""
+        breaker = gateway.breakers[source_index]
+        ready = self.now >= breaker.retry_at and not breaker.trying
+        cooldown_end = breaker.retry_at + gateway.clock_offset
+        return ready and gateway.agent.turn(local, self.sources[source_index], False, cooldown_end)
+
+    def send_get(self, gateway: Gateway, agent: Council) -> None:
+        """Simulates a GET, and a fill where it needs one, and schedules the next GET."""
+        if not self.is_current(gateway, agent):
             return
-        self.after(self.wait(gateway.demand), lambda: self.get(gateway, council))
+        self.after(self.random_interval(gateway.demand), lambda: self.send_get(gateway, agent))
         if self.now < gateway.stalled_until:
             return
-        local = self.now + gateway.offset
-        council.asked(local)
-        if self.chance.random() >= self.fills:
+        local = self.now + gateway.clock_offset
+        agent.asked(local)
+        if self.rng.random() >= self.fills_per_get:
             return
-        number = self.chance.randrange(len(self.sources))
-        switch, source = gateway.switches[number], self.sources[number]
-        trial = switch.open
-        if trial:
-            if not self.may_try(gateway, number, local):
-                return  # it goes to the next source in order
-            switch.trying = True
-            council.trying(local, source, False)
-        well = not self.dead_for(gateway.place, number)
-        self.wasted += not well
-        if trial:
-            self.trials.append((self.now, gateway.place, number, well))
-        self.after(20 * MS if well else OVERDUE, lambda: self.ended(gateway, council, number, trial, well))
-
-    def ended(self, gateway: Gateway, council: Council, number: int, trial: bool, well: bool) -> None:
-        if not self.runs(gateway, council) or self.now < gateway.stalled_until:
+        source_index = self.rng.randrange(len(self.sources))
+        breaker, source = gateway.breakers[source_index], self.sources[source_index]
+        is_trial = breaker.open
+        if is_trial:
+            if not self.may_try(gateway, source_index, local):
+                return  # the fill goes to another source, which is not simulated
+            breaker.trying = True
+            agent.trying(local, source, False)
+        succeeds = not self.is_dead_for(gateway.index, source_index)
+        self.wasted_fills += not succeeds
+        if is_trial:
+            self.trials.append((self.now, gateway.index, source_index, succeeds))
+        self.after(20 * MS if succeeds else FILL_TIMEOUT,
+                   lambda: self.fill_ended(gateway, agent, source_index, is_trial, succeeds))  # fmt: skip
+
+    def fill_ended(
+        self, gateway: Gateway, agent: Council, source_index: int, is_trial: bool, succeeded: bool
+    ) -> None:
+        """Reports the outcome of a fill to the breaker and the agent."""
+        if not self.is_current(gateway, agent) or self.now < gateway.stalled_until:
             return
-        local, source, switch = self.now + gateway.offset, self.sources[number], gateway.switches[number]
-        if trial:
-            if not switch.trying:
-                return  # decided meanwhile by what was told
-            switch.trying, switch.until = False, self.now + SPACING
-            council.tried(local, source, False, well)
-            switch.good = switch.good + 1 if well else 0
-            if not well:
-                self.open(switch)
-            elif switch.good >= 2:
-                switch.open, switch.run = False, 0
+        local, source, breaker = (
+            self.now + gateway.clock_offset,
+            self.sources[source_index],
+            gateway.breakers[source_index],
+        )
+        if is_trial:
+            if not breaker.trying:
+                return  # a verdict of the fleet has decided meanwhile
+            breaker.trying, breaker.retry_at = False, self.now + TRIAL_SPACING
+            agent.tried(local, source, False, succeeded)
+            breaker.successes = breaker.successes + 1 if succeeded else 0
+            if not succeeded:
+                self.open_breaker(breaker)
+            elif breaker.successes >= 2:
+                breaker.open, breaker.failures = False, 0
             return
-        council.saw(local, source, False, not well)
-        switch.run = 0 if well else switch.run + 1
-        if switch.run >= RUN and not switch.open:
-            self.open(switch)
+        agent.saw(local, source, False, not succeeded)
+        breaker.failures = 0 if succeeded else breaker.failures + 1
+        if breaker.failures >= FAILURES_TO_OPEN and not breaker.open:
+            self.open_breaker(breaker)
 
-    # what an observer sees
+    # measurements
 
-    def watch_sums(self, every: int = TURN) -> None:
-        """From now on, keeps the largest sum of parts that all hold at one instant."""
+    def track_share_sums(self, interval: int = TURN) -> None:
+        """Samples, from now on, the sum of the shares that all gateways hold at one time; keeps the
+        largest."""
 
-        def look() -> None:
+        def sample() -> None:
             running = [g for g in self.gateways if g.alive]
-            far = sum(g.council.part(self.now + g.offset, False) for g in running)
-            by_home: dict[int, float] = {}
+            fleet_sum = sum(g.agent.part(self.now + g.clock_offset, False) for g in running)
+            by_location: dict[int, float] = {}
             for g in running:
-                home = g.place % self.locations
-                by_home[home] = by_home.get(home, 0.0) + g.council.part(self.now + g.offset, True)
-            self.worst["far"] = max(self.worst["far"], far)
-            self.worst["near"] = max(self.worst["near"], *by_home.values())
-            self.after(every, look)
-
-        look()
-
-    def know(self, number: int) -> float:
-        """Share of those that run and are asked for anything that hold a source Open."""
+                location = g.index % self.location_count
+                by_location[location] = by_location.get(location, 0.0) + g.agent.part(
+                    self.now + g.clock_offset, True
+                )
+            self.max_share_sum["far"] = max(self.max_share_sum["far"], fleet_sum)
+            self.max_share_sum["near"] = max(self.max_share_sum["near"], *by_location.values())
+            self.after(interval, sample)
+
+        sample()
+
+    def open_fraction(self, source_index: int) -> float:
+        """Returns the fraction of the running gateways whose breaker for a source is open."""
         running = [g for g in self.gateways if g.alive]
-        return sum(g.switches[number].open for g in running) / max(1, len(running))
+        return sum(g.breakers[source_index].open for g in running) / max(1, len(running))
 
     def fairness(self) -> float:
-        """Jain's index of the parts over what each is asked for: 1 if all get alike."""
-        shares = [g.council.part(self.now + g.offset, False) / g.demand for g in self.gateways if g.alive]
+        """Returns Jain's fairness index of the shares divided by demand: 1 if all are in proportion."""
+        shares = [g.agent.part(self.now + g.clock_offset, False) / g.demand for g in self.gateways if g.alive]
         return sum(shares) ** 2 / (len(shares) * sum(x * x for x in shares))
--- a/damsonstream/virtual/links.py
+++ b/damsonstream/virtual/links.py
@@ -1,7 +1,8 @@
-"""Links between the gateways of a fleet in virtual time: what is lost, late, repeated or cut. No I/O.
+"""Simulated links between the gateways of a fleet in virtual time, with loss, delay, duplication and
+partitions. No I/O.
 
-How it is called: `Links(chance, ...)`; `ways(now, a, b)` gives the delays of the copies of one datagram that
-arrive: none, one or more. Times are whole tenths of a millisecond.
+Usage: `Links(rng, ...)`; `delivery_delays(now, sender, receiver)` returns the delay of each copy of one
+datagram that arrives: none, one or more. Times are whole tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -10,45 +11,49 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-MS, S = 10, 10_000
-Cut = Callable[[int, int, int], bool]  # now, from, to: whether nothing passes
+MS, S = 10, 10_000  # clock ticks (0.1 ms) per millisecond and per second
+Cut = Callable[[int, int, int], bool]  # (now, sender, receiver): whether the link is cut
 
 
 @dataclass(slots=True)
 class Links:
-    chance: random.Random
-    least: int = 1 * MS
-    most: int = 17 * MS
-    lost: float = 0.0
-    repeated: float = 0.0
+    """The properties of all links; delays are uniform between `min_delay` and `max_delay`."""
+
+    rng: random.Random
+    min_delay: int = 1 * MS
+    max_delay: int = 17 * MS
+    loss_rate: float = 0.0
+    duplicate_rate: float = 0.0
     cuts: list[Cut] = field(default_factory=list)
 
-    def ways(self, now: int, a: int, b: int) -> list[int]:
-        if any(cut(now, a, b) for cut in self.cuts) or self.chance.random() < self.lost:
+    def delivery_delays(self, now: int, sender: int, receiver: int) -> list[int]:
+        """Returns the delay of each copy of a datagram that arrives."""
+        if any(cut(now, sender, receiver) for cut in self.cuts) or self.rng.random() < self.loss_rate:
             return []
-        copies = 2 if self.chance.random() < self.repeated else 1
-        return [int(self.chance.uniform(self.least, self.most)) for _ in range(copies)]
+        copies = 2 if self.rng.random() < self.duplicate_rate else 1
+        return [int(self.rng.uniform(self.min_delay, self.max_delay)) for _ in range(copies)]
 
 
-def apart(start: int, end: int, group: Callable[[int], int]) -> Cut:
-    """From start to end, gateways of different groups don't hear each other."""
-    return lambda now, a, b: start <= now < end and group(a) != group(b)
+def partition(start: int, end: int, group_of: Callable[[int], int]) -> Cut:
+    """Returns a cut between gateways of different groups, from start to end."""
+    return lambda now, sender, receiver: start <= now < end and group_of(sender) != group_of(receiver)
 
 
 def faulty(fault: str, seed: int) -> Links:
-    """Links by the names that the benchmarks use: `lost 30%`, `late 5 s`, `split`; any other has no fault."""
-    chance = random.Random(seed)
+    """Returns links by the fault names of the benchmarks: `lost 30%`, `late 5 s`, `split`; others: no
+    fault."""
+    rng = random.Random(seed)
     match fault.split():
-        case ["lost", share]:
-            lost = int(share.rstrip("%")) / 100
-            return Links(chance, lost=lost, repeated=0.1 if lost < 0.5 else 0.0)
+        case ["lost", percentage]:
+            loss_rate = int(percentage.rstrip("%")) / 100
+            return Links(rng, loss_rate=loss_rate, duplicate_rate=0.1 if loss_rate < 0.5 else 0.0)
         case ["late", seconds, "s"]:
-            return Links(chance, most=int(seconds) * S)
+            return Links(rng, max_delay=int(seconds) * S)
         case ["split"]:
-            return Links(chance, cuts=[apart(5 * S, 15 * S, lambda place: place % 3 == 0)])
-    return Links(chance)
+            return Links(rng, cuts=[partition(5 * S, 15 * S, lambda gateway: gateway % 3 == 0)])
+    return Links(rng)
 
 
-def one_way(start: int, end: int, deaf: set[int]) -> Cut:
-    """From start to end, these hear nobody, and are heard."""
-    return lambda now, a, b: start <= now < end and b in deaf
+def block_incoming(start: int, end: int, receivers: set[int]) -> Cut:
+    """Returns a cut by which the receivers get nothing, but can send, from start to end."""
+    return lambda now, sender, receiver: start <= now < end and receiver in receivers
--- a/damsonstream/virtual/zones.py
+++ b/damsonstream/virtual/zones.py
@@ -1,10 +1,10 @@
-"""A fleet in virtual time that follows a hierarchy: councils, hierarchies in service, breakers in their
-plainest form, hubs that are well or gone by the script. No sockets.
+"""Simulates a fleet in virtual time that follows a hierarchy of zones: agents, `tiers` services, simplified
+breakers, and hubs that the caller makes fail. No sockets.
 
-How it is called: `ZoneFleet(count, zones, seed, how)`, then `lose(zone)`, `back(zone)` and `until(when)` as
-of any fleet; `fills_seen` holds what was asked of whom. `how`: `common` (as in service), `alone` (each
-gateway by itself, equal parts), `no limit` (the file's order of sources and no more) or `never` (nothing
-spills).
+Usage: `ZoneFleet(count, zones, seed, mode)`, then `lose_zone(zone)`, `restore_zone(zone)` and `until(when)`
+as with any fleet; `fills` lists where each fill went. `mode`: `common` (as in production), `alone` (each
+gateway decides by itself, with equal shares), `no limit` (sources in the file's order, without limits) or
+`never` (no spill between zones).
 """
 
 from __future__ import annotations
@@ -18,153 +18,173 @@
 from damsonstream.peers.pieces import PIECES
 from damsonstream.tiers.service import Alone, Service
 from damsonstream.tiers.shape import CACHE, HUB, VAULT, Node, Shape, Zone, shape_of
-from damsonstream.virtual.fleet import OVERDUE, Fleet, Gateway, Switch
+from damsonstream.virtual.fleet import FILL_TIMEOUT, Breaker, Fleet, Gateway
 from damsonstream.virtual.links import MS, Links, S
 
-HUBS = 2  # of each zone
-TAKES = 0.2  # of what a zone's hubs bear
-RAMP = 10.0
-HOWS = ("common", "alone", "no limit", "never")
+HUBS_PER_ZONE = 2
+SPILL_FRACTION = 0.2  # of the capacity of a zone's hubs, open to fills of other zones
+RAMP_SECONDS = 10.0
+HOWS = ("common", "alone", "no limit", "never")  # modes of ZoneFleet
 
 
 @dataclass(slots=True, frozen=True)
 class Fill:
-    """When, from which zone, and to whose hubs: `vault`, or empty where there was nowhere to go."""
+    """One fill: its time, the zone that it came from, and the zone of the hub that it went to: `vault` if it
+    went there, empty if it found no source."""
 
     at: int
     home: str
     to: str
 
 
-def shape(zones: int, gateways: int, demand: float, takes: float) -> Shape:
-    """Each zone's hubs bear twice what its own caches ask of them; half of the zones are in either region."""
-    own = demand * gateways / zones
+def build_shape(zones: int, gateways: int, demand_per_gateway: float, spill_fraction: float) -> Shape:
+    """Returns a hierarchy in which each zone's hubs have twice the capacity that its own caches need, and
+    half of the zones are in either region."""
+    zone_demand = demand_per_gateway * gateways / zones
     names = [f"z{n}" for n in range(zones)]
     nodes = [Node("vault", VAULT, names[0], 0.0)]
-    made = []
+    zones_made = []
     for n, name in enumerate(names):
         others = [names[(n + step) % zones] for step in range(1, zones)]
-        made.append(Zone(name, tuple(others), takes, region=f"r{n * 2 // zones}", ramp=RAMP))
-        nodes += [Node(f"{name}-h{h}", HUB, name, 2 * own / HUBS, ("vault",)) for h in range(HUBS)]
-        sources = [f"{zone}-h{h}" for zone in (name, *others) for h in range(HUBS)]
-        nodes.append(Node(f"{name}-c", CACHE, name, own, (*sources, "vault")))
-    return shape_of(1, nodes, made, vault_cap=0.1 * demand * gateways)
+        zones_made.append(
+            Zone(name, tuple(others), spill_fraction, region=f"r{n * 2 // zones}", ramp=RAMP_SECONDS)
+        )
+        nodes += [Node(f"{name}-h{h}", HUB, name, 2 * zone_demand / HUBS_PER_ZONE, ("vault",))
+                  for h in range(HUBS_PER_ZONE)]  # fmt: skip
+        sources = [f"{zone}-h{h}" for zone in (name, *others) for h in range(HUBS_PER_ZONE)]
+        nodes.append(Node(f"{name}-c", CACHE, name, zone_demand, (*sources, "vault")))
+    return shape_of(1, nodes, zones_made, vault_cap=0.1 * demand_per_gateway * gateways)
 
 
 class ZoneFleet(Fleet):
+    """A fleet of gateways that fill from the hubs of several zones and from one vault."""
+
     def __init__(
-        self, count: int, zones: int, seed: int, how: str = "common", links: Links | None = None,
-        fills_each: float = 2.0,
+        self, count: int, zones: int, seed: int, mode: str = "common", links: Links | None = None,
+        fills_per_second: float = 2.0,
     ) -> None:  # fmt: skip
-        """`fills_each`: fills a second of each gateway, the mean; demands differ by gateway."""
-        self.how, self.zone_count = how, zones
-        self.shape = shape(zones, count, fills_each, 0.0 if how == "never" else TAKES)
+        """`fills_per_second`: the mean per gateway; demands differ by gateway."""
+        self.mode, self.zone_count = mode, zones
+        self.shape = build_shape(zones, count, fills_per_second, 0.0 if mode == "never" else SPILL_FRACTION)
         self.hubs = [node.name for node in self.shape.role(HUB)]
         self.services: dict[int, Service] = {}
         self.fills_seen: list[Fill] = []
-        self.gone: set[str] = set()  # hubs
-        pieces = frozenset(PIECES) if how in ("common", "never") else frozenset[str]()
-        # the many are asked for little: a Pareto draw, as benchmarks/peers.py has it
-        chance = random.Random(seed)
-        drawn = [chance.paretovariate(1.8) for _ in range(count)]
-        whole = sum(drawn)
-        super().__init__(count, seed, sources=len(self.hubs), links=links, pieces=pieces, locations=zones,
-                         demands=[fills_each * count * one / whole for one in drawn], fills=1.0)  # fmt: skip
+        self.lost_hubs: set[str] = set()
+        features = frozenset(PIECES) if mode in ("common", "never") else frozenset[str]()
+        # a Pareto distribution, as in benchmarks/peers.py: most gateways have little demand
+        rng = random.Random(seed)
+        weights = [rng.paretovariate(1.8) for _ in range(count)]
+        total = sum(weights)
+        super().__init__(count, seed, sources=len(self.hubs), links=links, features=features, locations=zones,
+                         demands=[fills_per_second * count * weight / total for weight in weights],
+                         fills_per_get=1.0)  # fmt: skip
         self.sources = [source_id(name) for name in self.hubs]
 
-    def council(self, place: int, offset: int, boots: int = 1) -> Council:
-        council = super().council(place, offset, boots)
-        council.listed((), tuple(source_id(name) for name in self.hubs))
-        common = council if self.how in ("common", "never") else Alone(self.count)
-        now = self.now + offset
-        service = self.services[place] = Service(common, place, now, self.how != "no limit")
+    def new_agent(self, index: int, clock_offset: int, boot_count: int = 1) -> Council:
+        agent = super().new_agent(index, clock_offset, boot_count)
+        agent.listed((), tuple(source_id(name) for name in self.hubs))
+        zone_view = agent if self.mode in ("common", "never") else Alone(self.count)
+        now = self.now + clock_offset
+        service = self.services[index] = Service(zone_view, index, now, self.mode != "no limit")
         refused = service.apply(now, self.shape)
         assert refused is None, refused
-        return council
+        return agent
 
-    def home(self, place: int) -> str:
-        return f"z{place % self.zone_count}"
+    def zone_of(self, index: int) -> str:
+        """Returns the zone of a gateway."""
+        return f"z{index % self.zone_count}"
 
     def lose(self, zone: str) -> None:
-        self.gone |= {hub for hub in self.hubs if self.shape.nodes[hub].zone == zone}
+        """Makes all hubs of a zone fail."""
+        self.lost_hubs |= {hub for hub in self.hubs if self.shape.nodes[hub].zone == zone}
 
     def back(self, zone: str) -> None:
-        self.gone = {hub for hub in self.gone if self.shape.nodes[hub].zone != zone}
-
-    def turn(self, gateway: Gateway, council: Council) -> None:
-        if self.runs(gateway, council) and self.now >= gateway.stalled_until:
-            self.services[gateway.place].tick(self.now + gateway.offset)
-        super().turn(gateway, council)
-
-    def hear(self, gateway: Gateway, source: int, what: str) -> None:
-        number = self.sources.index(source)
-        switch = gateway.switches[number]
-        before = switch.open
-        super().hear(gateway, source, what)
-        self.changed(gateway, number, switch, before)
-
-    def changed(self, gateway: Gateway, number: int, switch: Switch, before: bool) -> None:
-        if switch.open != before:
-            state = "Open" if switch.open else "Closed"
-            self.services[gateway.place].turned(self.hubs[number], state)
-
-    def usable(self, gateway: Gateway, local: int) -> Iterable[str]:
-        """Hubs that the breakers let it use now, and the vault."""
-        key = self.chance.getrandbits(30)
-        for number in sorted(range(len(self.hubs)), key=lambda n: order.weight(n, key)):
-            if not gateway.switches[number].open or self.may_try(gateway, number, local):
-                yield self.hubs[number]
+        """Makes all hubs of a zone work again."""
+        self.lost_hubs = {hub for hub in self.lost_hubs if self.shape.nodes[hub].zone != zone}
+
+    def poll_agent(self, gateway: Gateway, agent: Council) -> None:
+        if self.is_current(gateway, agent) and self.now >= gateway.stalled_until:
+            self.services[gateway.index].tick(self.now + gateway.clock_offset)
+        super().poll_agent(gateway, agent)
+
+    def apply_verdict(self, gateway: Gateway, source: int, verdict: str) -> None:
+        source_index = self.sources.index(source)
+        breaker = gateway.breakers[source_index]
+        was_open = breaker.open
+        super().apply_verdict(gateway, source, verdict)
+        self.notify_breaker_change(gateway, source_index, breaker, was_open)
+
+    def notify_breaker_change(
+        self, gateway: Gateway, source_index: int, breaker: Breaker, was_open: bool
+    ) -> None:
+        """Notifies the `tiers` service if a breaker has opened or closed."""
+        if breaker.open != was_open:
+            state = "Open" if breaker.open else "Closed"
+            self.services[gateway.index].turned(self.hubs[source_index], state)
+
+    def usable_sources(self, gateway: Gateway, local: int) -> Iterable[str]:
+        """Yields the hubs whose breakers let this gateway use them now, then the vault."""
+        key = self.rng.getrandbits(30)
+        for source_index in sorted(range(len(self.hubs)), key=lambda n: order.weight(n, key)):
+            if not gateway.breakers[source_index].open or self.may_try(gateway, source_index, local):
+                yield self.hubs[source_index]
         yield "vault"
 
-    def get(self, gateway: Gateway, council: Council) -> None:
-        if not self.runs(gateway, council):
+    def send_get(self, gateway: Gateway, agent: Council) -> None:
+        if not self.is_current(gateway, agent):
             return
-        self.after(self.wait(gateway.demand), lambda: self.get(gateway, council))
+        self.after(self.random_interval(gateway.demand), lambda: self.send_get(gateway, agent))
         if self.now < gateway.stalled_until:
             return
-        local, home = self.now + gateway.offset, self.home(gateway.place)
-        council.asked(local)
-        service, cache = self.services[gateway.place], f"{home}-c"
-        found = service.among(local, cache, self.chance.random(), list(self.usable(gateway, local)))
-        if not found:
-            self.fills_seen.append(Fill(self.now, home, ""))
+        local, own_zone = self.now + gateway.clock_offset, self.zone_of(gateway.index)
+        agent.asked(local)
+        service, cache = self.services[gateway.index], f"{own_zone}-c"
+        allowed = service.among(local, cache, self.rng.random(), list(self.usable_sources(gateway, local)))
+        if not allowed:
+            self.fills_seen.append(Fill(self.now, own_zone, ""))
             return
-        name = found[0]
+        name = allowed[0]
         service.sent(local, cache, name)
         if name == "vault":
-            self.fills_seen.append(Fill(self.now, home, "vault"))
+            self.fills_seen.append(Fill(self.now, own_zone, "vault"))
             return
-        number = self.hubs.index(name)
-        self.fills_seen.append(Fill(self.now, home, self.shape.nodes[name].zone))
-        trial = gateway.switches[number].open
-        if trial:
-            gateway.switches[number].trying = True
-            council.trying(local, self.sources[number], False)
-        well = name not in self.gone
-        self.after(20 * MS if well else OVERDUE, lambda: self.ended(gateway, council, number, trial, well))
-
-    def ended(self, gateway: Gateway, council: Council, number: int, trial: bool, well: bool) -> None:
-        switch, before = gateway.switches[number], gateway.switches[number].open
-        if self.runs(gateway, council):
-            self.services[gateway.place].saw(self.now + gateway.offset, self.hubs[number], not well)
-        super().ended(gateway, council, number, trial, well)
-        self.changed(gateway, number, switch, before)
-
-    # what an observer sees
+        source_index = self.hubs.index(name)
+        self.fills_seen.append(Fill(self.now, own_zone, self.shape.nodes[name].zone))
+        is_trial = gateway.breakers[source_index].open
+        if is_trial:
+            gateway.breakers[source_index].trying = True
+            agent.trying(local, self.sources[source_index], False)
+        succeeds = name not in self.lost_hubs
+        self.after(20 * MS if succeeds else FILL_TIMEOUT,
+                   lambda: self.fill_ended(gateway, agent, source_index, is_trial, succeeds))  # fmt: skip
+
+    def fill_ended(
+        self, gateway: Gateway, agent: Council, source_index: int, is_trial: bool, succeeded: bool
+    ) -> None:
+        breaker, was_open = gateway.breakers[source_index], gateway.breakers[source_index].open
+        if self.is_current(gateway, agent):
+            self.services[gateway.index].saw(
+                self.now + gateway.clock_offset, self.hubs[source_index], not succeeded
+            )
+        super().fill_ended(gateway, agent, source_index, is_trial, succeeded)
+        self.notify_breaker_change(gateway, source_index, breaker, was_open)
+
+    # measurements
 
     def states(self, zone: str) -> list[str]:
-        return [self.services[g.place].common.zone_state(self.now + g.offset, zone)[0]
+        """Returns the state of a zone at each running gateway."""
+        return [self.services[g.index].common.zone_state(self.now + g.clock_offset, zone)[0]
                 for g in self.gateways if g.alive]  # fmt: skip
 
     def hold(self, zone: str, state: str) -> float:
-        """Share of the gateways that hold a zone for that."""
+        """Returns the fraction of the running gateways at which a zone has that state."""
         states = self.states(zone)
         return states.count(state) / max(1, len(states))
 
     def worst_spill(self) -> float:
-        """The most that spilled into a zone in a second, over what it takes."""
-        worst = 0.0
-        limits = {name: TAKES * 2 * sum(g.demand for g in self.gateways) / self.zone_count
+        """Returns the most fills that spilled into one zone within a second, divided by its limit."""
+        largest = 0.0
+        limits = {name: SPILL_FRACTION * 2 * sum(g.demand for g in self.gateways) / self.zone_count
                   for name in self.shape.zones}  # fmt: skip
         for zone in self.shape.zones:
             times = [f.at for f in self.fills_seen if f.to == zone and f.home != zone]
@@ -172,22 +192,23 @@
             for last, at in enumerate(times):
                 while times[first] <= at - S:
                     first += 1
-                worst = max(worst, (last - first + 1) / limits[zone])
-        return worst
+                largest = max(largest, (last - first + 1) / limits[zone])
+        return largest
 
     def lost_share(self, start: int, end: int) -> float:
-        """Share of the fills of a span for which there was nowhere, or only a hub that was gone."""
+        """Returns the fraction of the fills between two times that found no source."""
         span = [f for f in self.fills_seen if start <= f.at < end]
         return sum(not f.to for f in span) / max(1, len(span))
 
     def near_share(self, start: int, end: int) -> float:
+        """Returns the fraction of the fills between two times that stayed in their own zone."""
         span = [f for f in self.fills_seen if start <= f.at < end]
         return sum(f.to == f.home for f in span) / max(1, len(span))
 
     def changes(self) -> int:
-        """The most verdicts that one gateway has held after another, of all zones."""
+        """Returns the largest number of changes of verdict at one gateway, over all zones."""
         found = []
-        for place in range(self.count):
-            zones = self.services[place].common.zones
+        for index in range(self.count):
+            zones = self.services[index].common.zones
             found.append(zones.changes if zones is not None else 0)
         return max(found)
