--- a/tests/test_peers_model.py
+++ b/tests/test_peers_model.py
@@ -1,9 +1,9 @@
-"""Shares and turns of a few gateways, every state that they can reach: explored with the real code in steps
-of time, while messages are lost, repeated, late and out of order, and gateways die and start anew.
+"""Explores states that a few gateways can reach with leases of shares and with trials. The real code runs in
+steps of time, while messages are lost, duplicated, late and out of order, and gateways crash and restart.
 
-Shares: the sum is never over the cap. Turns: from every state all come back once links and source are well;
-while it fails and words come, two try it in a step at most. Mutations of the modules show that it would be
-noticed.
+Shares: the sum never exceeds the cap. Trials: from every state all breakers close once links and source work;
+while the source fails and messages arrive, at most two gateways try it per step. The tests with mutated
+modules show that a violation would be detected.
 """
 
 from __future__ import annotations
@@ -17,205 +17,223 @@
 from unittest import mock
 
 from damsonstream.peers import shares, turns, wire
-from damsonstream.peers.shares import LASTS, WHOLE, Shares
-from damsonstream.peers.turns import Turns
+from damsonstream.peers.shares import CAP_MILLIONTHS, LEASE_DURATION, Shares
+from damsonstream.peers.turns import TrialSchedule
 
-STEP = LASTS // 3
-Message = tuple[int, int, wire.Ask | wire.Grant]  # from, to, what
-MOST_WAITING = 2  # messages on their way; each may come now, later, twice or never
+STEP = LEASE_DURATION // 3
+Message = tuple[int, int, wire.LeaseRequest | wire.Grant]  # sender, receiver, item
+MAX_IN_FLIGHT = 2  # messages under way; each may arrive now, later, twice or never
 
 
-class Pie:
-    """Three gateways that share one cap; the first is asked for nine tenths of all."""
+class SharedCap:
+    """Three gateways that share one cap; the first has nine tenths of the demand."""
 
     def __init__(self) -> None:
         self.now = 0
-        self.ones = [self.start(me, -10 * LASTS) for me in range(3)]
-        self.waiting: list[Message] = []
-        self.deaths = 0
-
-    def start(self, me: int, now: int) -> Shares:
-        one = Shares(me, 0, 3, now)
-        one.usual = 10.0 / 3
-        demand = 9.0 if me == 0 else 0.5
+        self.gateways = [self.start(index, -10 * LEASE_DURATION) for index in range(3)]
+        self.in_flight: list[Message] = []
+        self.restarts = 0
+
+    def start(self, index: int, now: int) -> Shares:
+        one = Shares(index, 0, 3, now)
+        one.mean_demand = 10.0 / 3
+        demand = 9.0 if index == 0 else 0.5
         one.demand = lambda now: demand  # type: ignore[method-assign]
         return one
 
     def key(self) -> tuple[object, ...]:
+        """Returns the state with times and numbers relative to the present, so that equal states compare
+        equal."""
+
         def leases(table: Any) -> tuple[object, ...]:
-            return tuple(sorted((x.other, x.millionths, x.until - self.now, x.asked - self.now)
-                                for x in table.values() if x.until > self.now))  # fmt: skip
+            return tuple(sorted((x.peer, x.millionths, x.expires_at - self.now, x.requested_at - self.now)
+                                for x in table.values() if x.expires_at > self.now))  # fmt: skip
 
-        told = [(leases(one.given), leases(one.taken), leases(one.open),
-                 max(-1, one.settled - self.now)) for one in self.ones]  # fmt: skip
-        last = self.ones[0].number  # of leases and asks, which the first one makes
-        waiting = sorted((a, b, last - item.lease, last - item.number) for a, b, item in self.waiting)
-        return tuple(told), tuple(waiting), self.deaths
+        states = [(leases(one.given), leases(one.taken), leases(one.pending),
+                   max(-1, one.settled_at - self.now)) for one in self.gateways]  # fmt: skip
+        last = self.gateways[0].sequence  # of leases and requests, which only the first one makes
+        in_flight = sorted((a, b, last - item.lease, last - item.request) for a, b, item in self.in_flight)
+        return tuple(states), tuple(in_flight), self.restarts
 
     def total(self) -> int:
-        return sum(one.millionths(self.now) for one in self.ones)
+        return sum(one.millionths(self.now) for one in self.gateways)
 
-    def nexts(self) -> list[tuple[str, Pie]]:
+    def successors(self) -> list[tuple[str, SharedCap]]:
+        """Returns the possible next states, each with the name of the event."""
         found = []
 
-        def after(name: str, change: Callable[[Pie], None]) -> None:
+        def after(name: str, change: Callable[[SharedCap], None]) -> None:
             one = copy.deepcopy(self)
             change(one)
             found.append((name, one))
 
-        after("time", lambda pie: setattr(pie, "now", pie.now + STEP))
-        if len(self.waiting) < MOST_WAITING:
-            after("ask", Pie.ask)
-        for n in range(len(self.waiting)):
-            after("come", lambda pie, n=n: pie.come(pie.waiting.pop(n)))  # type: ignore[misc]
-            after("repeated", lambda pie, n=n: pie.come(pie.waiting[n]))  # type: ignore[misc]
-            after("lost", lambda pie, n=n: pie.waiting.pop(n))  # type: ignore[misc]
-        if self.deaths < 1:
-            for me in (0, 1):
-                after("death", lambda pie, me=me: pie.die(me))  # type: ignore[misc]
+        after("time", lambda state: setattr(state, "now", state.now + STEP))
+        if len(self.in_flight) < MAX_IN_FLIGHT:
+            after("request", SharedCap.send_request)
+        for n in range(len(self.in_flight)):
+            after("deliver", lambda state, n=n: state.deliver(state.in_flight.pop(n)))  # type: ignore[misc]
+            after("duplicate", lambda state, n=n: state.deliver(state.in_flight[n]))  # type: ignore[misc]
+            after("lose", lambda state, n=n: state.in_flight.pop(n))  # type: ignore[misc]
+        if self.restarts < 1:
+            for index in (0, 1):
+                after("restart", lambda state, index=index: state.restart(index))  # type: ignore[misc]
         return found
 
-    def ask(self) -> None:
-        self.ones[0].next_ask = self.now
-        for who, item in self.ones[0].asks(self.now, [(1, 0.5), (2, 0.5)])[:1]:
-            self.waiting.append((0, who, item))
+    def send_request(self) -> None:
+        self.gateways[0].next_request_at = self.now
+        for peer, item in self.gateways[0].renewals_and_requests(self.now, [(1, 0.5), (2, 0.5)])[:1]:
+            self.in_flight.append((0, peer, item))
 
-    def come(self, message: Message) -> None:
+    def deliver(self, message: Message) -> None:
         a, b, item = message
         if isinstance(item, wire.Grant):
-            self.ones[b].lent(self.now, a, item)
-        elif (grant := self.ones[b].grant(self.now, a, item)) is not None and len(
-            self.waiting
-        ) < MOST_WAITING:
-            self.waiting.append((b, a, grant))
-
-    def die(self, me: int) -> None:
-        self.deaths += 1
-        self.ones[me] = self.start(me, self.now)
-
-
-def explore(most: int = 16_000) -> tuple[int, int]:
-    """States seen, and the largest sum; breadth first, so that the shortest histories come first."""
-    first = Pie()
-    seen, queue, worst = {first.key()}, deque([first]), first.total()
-    while queue and len(seen) < most:
-        for _, state in queue.popleft().nexts():
-            worst = max(worst, state.total())
-            if worst > WHOLE:
-                return len(seen), worst
+            self.gateways[b].receive_grant(self.now, a, item)
+        elif (grant := self.gateways[b].grant(self.now, a, item)) is not None and len(
+            self.in_flight
+        ) < MAX_IN_FLIGHT:
+            self.in_flight.append((b, a, grant))
+
+    def restart(self, index: int) -> None:
+        self.restarts += 1
+        self.gateways[index] = self.start(index, self.now)
+
+
+def explore(max_states: int = 16_000) -> tuple[int, int]:
+    """Returns the number of states found and the largest sum; breadth first, so that short histories
+    come first."""
+    first = SharedCap()
+    seen, queue, max_sum = {first.key()}, deque([first]), first.total()
+    while queue and len(seen) < max_states:
+        for _, state in queue.popleft().successors():
+            max_sum = max(max_sum, state.total())
+            if max_sum > CAP_MILLIONTHS:
+                return len(seen), max_sum
             if (key := state.key()) not in seen:
                 seen.add(key)
                 queue.append(state)
-    return len(seen), worst
+    return len(seen), max_sum
 
 
 class SharesModel(unittest.TestCase):
-    def test_the_sum_is_never_over(self) -> None:
-        states, worst = explore()
+    def test_sum_never_exceeds_cap(self) -> None:
+        states, max_sum = explore()
         self.assertGreaterEqual(states, 16_000)
-        self.assertLessEqual(worst, WHOLE)
+        self.assertLessEqual(max_sum, CAP_MILLIONTHS)
 
-    def test_mutations_are_caught(self) -> None:
-        """Each takes away one thing on which the proof rests."""
+    def test_mutations_are_detected(self) -> None:
+        """Each mutation removes one rule on which the bound depends."""
 
-        def late(one: Shares, now: int, who: int, grant: wire.Grant) -> bool:
-            lease = one.open.pop(grant.number, None)
+        def from_arrival(one: Shares, now: int, peer: int, grant: wire.Grant) -> bool:
+            lease = one.pending.pop(grant.request, None)
             if lease is None:
                 return False
-            one.taken[grant.lease] = shares.Lease(
-                who, grant.millionths, now + LASTS, now
-            )  # from when it came
+            # counted from when the grant came
+            one.taken[grant.lease] = shares.Lease(peer, grant.millionths, now + LEASE_DURATION, now)
             return True
 
-        def any_answer(one: Shares, now: int, who: int, grant: wire.Grant) -> bool:
-            one.taken[grant.lease] = shares.Lease(who, grant.millionths, now + LASTS, now)  # asked for or not
+        def unrequested(one: Shares, now: int, peer: int, grant: wire.Grant) -> bool:
+            # requested or not
+            one.taken[grant.lease] = shares.Lease(peer, grant.millionths, now + LEASE_DURATION, now)
             return True
 
-        def more(one: Shares, now: int, who: int, ask: wire.Ask) -> wire.Grant | None:
-            one.given[who, ask.number] = shares.Lease(who, 1, now + LASTS)  # lends what it goes on using
-            return wire.Grant(0, ask.lease, ask.number, ask.millionths, LASTS)
+        def lend_used(one: Shares, now: int, peer: int, request: wire.LeaseRequest) -> wire.Grant | None:
+            # lends what it continues to use
+            one.given[peer, request.request] = shares.Lease(peer, 1, now + LEASE_DURATION)
+            return wire.Grant(0, request.lease, request.request, request.millionths, LEASE_DURATION)
 
-        own = Shares.base
+        owned = Shares.owned
         mutations: dict[str, list[Any]] = {
-            "counted from when it came": [mock.patch.object(Shares, "lent", late)],
-            "any answer holds": [mock.patch.object(Shares, "lent", any_answer)],
-            "lent and used": [mock.patch.object(Shares, "grant", more)],
-            "no floor after a start": [mock.patch.object(Shares, "base", lambda one, now: one.own)],
-            "lenders wait half as long": [
-                mock.patch.object(Shares, "longest", staticmethod(lambda: LASTS // 2))
+            "lease counted from when the grant came": [
+                mock.patch.object(Shares, "receive_grant", from_arrival)
+            ],
+            "grant accepted without a request": [mock.patch.object(Shares, "receive_grant", unrequested)],
+            "lent share still used": [mock.patch.object(Shares, "grant", lend_used)],
+            "full share just after a start": [
+                mock.patch.object(Shares, "owned", lambda one, now: one.equal_share)
+            ],
+            "lender waits half as long": [
+                mock.patch.object(Shares, "max_lease_duration", staticmethod(lambda: LEASE_DURATION // 2))
             ],
-            "what is lent is kept too": [mock.patch.object(Shares, "kept", own)],
+            "lent share retained": [mock.patch.object(Shares, "retained", owned)],
         }
         for name, patches in mutations.items():
             with self.subTest(name), ExitStack() as stack:
                 for patch in patches:
                     stack.enter_context(patch)
-                self.assertGreater(explore()[1], WHOLE)
+                self.assertGreater(explore()[1], CAP_MILLIONTHS)
 
 
-class Source:
-    """Three gateways that hold one source Open; time goes in steps, words come or are lost."""
+class TrialModel:
+    """Three gateways whose breakers for one source are Open; time passes in steps, messages arrive or are
+    lost."""
 
-    LONG = 12 * turns.STEP
+    LONG = 12 * turns.ORDER_STEP
 
     def __init__(self) -> None:
-        self.now, self.well = 0, False
-        self.ones = [Turns(me) for me in range(3)]
+        self.now, self.works = 0, False
+        self.schedules = [TrialSchedule(index) for index in range(3)]
         self.closed = [False] * 3
-        self.since = [0, 0, 0]
-        self.words: list[tuple[int, wire.Trial]] = []
-        self.tried_at_once = 0
+        self.retry_at = [0, 0, 0]
+        self.messages: list[tuple[int, wire.Trial]] = []
+        self.concurrent_trials = 0
 
     def key(self) -> tuple[object, ...]:
-        told = []
-        for one in self.ones:
-            turn = one.known.get(7, turns.Turn())
-            told.append((turn.by, max(0, min(self.LONG, turn.until - self.now)), min(2, turn.good),
-                         min(self.LONG, self.now - turn.good_at) if turn.good else 0))  # fmt: skip
-        since = tuple(max(-turns.AFTER, min(self.LONG, at - self.now)) for at in self.since)
-        words = tuple(sorted((to, word.by, word.state) for to, word in self.words))
-        return self.well, tuple(self.closed), tuple(told), since, words
-
-    def pass_on(self, by: int, word: wire.Trial | None) -> None:
-        if word is not None:
-            self.words += [(to, word) for to in range(3) if to != by]
-
-    def step(self, lost: bool, well: bool) -> Source:
-        """One step: words of the last one come, or all are lost; then whoever may tries, in its order."""
+        """Returns the state with times relative to the present, cut off at LONG, so that equal states compare
+        equal."""
+        parts = []
+        for one in self.schedules:
+            trial_state = one.states.get(7, turns.TrialState())
+            parts.append((
+                trial_state.claimed_by, max(0, min(self.LONG, trial_state.claimed_until - self.now)),
+                min(2, trial_state.successes),
+                min(self.LONG, self.now - trial_state.first_success_at) if trial_state.successes else 0,
+            ))  # fmt: skip
+        retry_at = tuple(max(-turns.OUTSIDER_SPREAD, min(self.LONG, at - self.now)) for at in self.retry_at)
+        messages = tuple(sorted((to, message.by, message.state) for to, message in self.messages))
+        return self.works, tuple(self.closed), tuple(parts), retry_at, messages
+
+    def send_to_others(self, by: int, message: wire.Trial | None) -> None:
+        if message is not None:
+            self.messages += [(to, message) for to in range(3) if to != by]
+
+    def step(self, lost: bool, works: bool) -> TrialModel:
+        """Returns the state after one step: all messages of the last one arrive, or all are lost; then each
+        gateway that may try does so, in order."""
         one = copy.deepcopy(self)
-        one.now, one.well = self.now + turns.STEP, well
-        words, one.words = one.words, []
-        for to, word in [] if lost else words:
-            _, shows = one.ones[to].heard(one.now, word)
-            if shows == "well":
+        one.now, one.works = self.now + turns.ORDER_STEP, works
+        messages, one.messages = one.messages, []
+        for to, message in [] if lost else messages:
+            _, verdict = one.schedules[to].receive(one.now, message)
+            if verdict == "well":
                 one.closed[to] = True
-            elif shows == "good":
-                one.since[to] = one.now
-            elif shows == "bad" and not one.closed[to]:
-                one.since[to] = one.now + 2 * turns.STEP
-        trying = [me for me in range(3) if not one.closed[me] and one.now >= one.since[me]
-                  and one.ones[me].mine(one.now, 7, one.since[me], [0, 1, 2])]  # fmt: skip
-        one.tried_at_once = len(trying)
-        for me in trying:
-            one.pass_on(me, one.ones[me].began(one.now, 7, wire.EVERYWHERE, 1))
-            good = one.ones[me].turn(one.now, 7).good
-            one.pass_on(me, one.ones[me].ended(one.now, 7, wire.EVERYWHERE, 1, well))
-            if well:
-                one.since[me] = one.now
-                one.closed[me] = good + 1 >= turns.MAJORITY
+            elif verdict == "good":
+                one.retry_at[to] = one.now
+            elif verdict == "bad" and not one.closed[to]:
+                one.retry_at[to] = one.now + 2 * turns.ORDER_STEP
+        trying = [index for index in range(3) if not one.closed[index] and one.now >= one.retry_at[index]
+                  and one.schedules[index].may_try(one.now, 7, one.retry_at[index], [0, 1, 2])]  # fmt: skip
+        one.concurrent_trials = len(trying)
+        for index in trying:
+            one.send_to_others(index, one.schedules[index].begin(one.now, 7, wire.ALL_LOCATIONS, 1))
+            successes = one.schedules[index].state_of(one.now, 7).successes
+            one.send_to_others(index, one.schedules[index].finish(one.now, 7, wire.ALL_LOCATIONS, 1, works))
+            if works:
+                one.retry_at[index] = one.now
+                one.closed[index] = successes + 1 >= turns.SUCCESSES_TO_CLOSE
             else:
-                one.since[me] = one.now + 2 * turns.STEP
+                one.retry_at[index] = one.now + 2 * turns.ORDER_STEP
         return one
 
 
-def reach(most: int = 3000) -> list[Source]:
-    """What can happen while words come or are lost and the source is bad or well; breadth first."""
-    first = Source()
+def reachable(max_states: int = 3000) -> list[TrialModel]:
+    """Returns states that can be reached while messages arrive or are lost and the source fails or works;
+    breadth first."""
+    first = TrialModel()
     seen, found, queue = {first.key()}, [first], deque([first])
-    while queue and len(seen) < most:
+    while queue and len(seen) < max_states:
         state = queue.popleft()
-        for lost, well in ((False, False), (True, False), (False, True), (True, True)):
-            after = state.step(lost, well)
+        for lost, works in ((False, False), (True, False), (False, True), (True, True)):
+            after = state.step(lost, works)
             if (key := after.key()) not in seen:
                 seen.add(key)
                 found.append(after)
@@ -223,49 +241,53 @@
     return found
 
 
-def unclosed(states: list[Source], steps: int = 24) -> int:
-    """Of how many states not all come back within so many steps, once words come and the source is well."""
-    left = 0
+def count_unclosed(states: list[TrialModel], steps: int = 24) -> int:
+    """Returns from how many states some breaker is not closed after so many steps in which messages arrive
+    and the source works."""
+    remaining = 0
     for state in states:
         for _ in range(steps):
             if all(state.closed):
                 break
             state = state.step(False, True)
-        left += not all(state.closed)
-    return left
+        remaining += not all(state.closed)
+    return remaining
 
 
-def crowd(steps: int = 60) -> tuple[int, int]:
-    """Trials of a bad source while every word comes: the most in one step, and all of a long time."""
-    state, tried = Source(), list[int]()
+def count_trials(steps: int = 60) -> tuple[int, int]:
+    """Runs a failing source while all messages arrive; returns the most trials in a step, and their
+    total."""
+    state, per_step = TrialModel(), list[int]()
     for _ in range(steps):
         state = state.step(False, False)
-        tried.append(state.tried_at_once)
-    return max(tried), sum(tried)
+        per_step.append(state.concurrent_trials)
+    return max(per_step), sum(per_step)
 
 
 class TurnsModel(unittest.TestCase):
-    def test_somebody_always_tries_again_and_all_agree(self) -> None:
-        states = reach()
+    def test_all_breakers_close_once_the_source_works(self) -> None:
+        states = reachable()
         self.assertGreaterEqual(len(states), 3000)
-        self.assertEqual(unclosed(states), 0)
+        self.assertEqual(count_unclosed(states), 0)
 
-    def test_two_at_most_in_a_step_while_words_come(self) -> None:
-        worst, total = crowd()
+    def test_two_trials_per_step_at_most(self) -> None:
+        worst, total = count_trials()
         self.assertLessEqual(worst, 2)
         self.assertLessEqual(total, 35)
 
-    def test_mutations_are_caught(self) -> None:
-        def deaf(one: Turns, now: int, trial: wire.Trial) -> tuple[bool, str]:
+    def test_mutations_are_detected(self) -> None:
+        def ignore(one: TrialSchedule, now: int, trial: wire.Trial) -> tuple[bool, str]:
+            """Ignores the message."""
             return False, ""
 
         mutations: tuple[tuple[str, Any, Callable[[], bool]], ...] = (
-            ("a claim never ends", mock.patch.object(turns, "HELD", 1 << 40),
-             lambda: unclosed(reach(300)) > 0),
-            ("one good trial closes for nobody", mock.patch.object(turns, "MAJORITY", 1 << 20),
-             lambda: unclosed(reach(300)) > 0),
-            ("all at once", mock.patch.object(turns, "STEP", 0), lambda: crowd()[0] > 2),
-            ("no word is believed", mock.patch.object(Turns, "heard", deaf), lambda: crowd()[1] > 45),
+            ("a claim never ends", mock.patch.object(turns, "CLAIM_DURATION", 1 << 40),
+             lambda: count_unclosed(reachable(300)) > 0),
+            ("successes never close", mock.patch.object(turns, "SUCCESSES_TO_CLOSE", 1 << 20),
+             lambda: count_unclosed(reachable(300)) > 0),
+            ("no delay by order", mock.patch.object(turns, "ORDER_STEP", 0), lambda: count_trials()[0] > 2),
+            ("all messages ignored", mock.patch.object(TrialSchedule, "receive", ignore),
+             lambda: count_trials()[1] > 45),
         )  # fmt: skip
         for name, patch, caught in mutations:
             with self.subTest(name), patch:
