--- a/damsonstream/peers/council.py
+++ b/damsonstream/peers/council.py
@@ -36,19 +36,17 @@
 
 S = 10_000  # clock ticks (0.1 ms) per second
 TURN = S // 10  # between rounds of gossip; an item passes through 200 gateways in about six rounds
-# Peers that receive gossip in a round; with the repeats of peers/gossip.py an item reaches all but one in a
-# thousand.
+# Peers that receive gossip in a round; with the repeats of peers/gossip.py all but one in a thousand get it.
 FANOUT = 2
 JOIN_FANOUT = 4  # other gateways, besides the neighbors, to which a starting gateway sends its heartbeat
-# after a start, during which heartbeats carry more relayed ones, so that others are known soon
+# For this long after a start, heartbeats carry more relayed ones, so that all gateways are known soon.
 JOIN_PERIOD = 5 * S
 JOIN_RELAYED, MAX_HEARTBEAT_BYTES = 4, 24  # relayed heartbeats per datagram then, and the size limit of each
 DEMAND_WARMUP = 2 * S  # after a start, until the demand can be measured; none is reported before
 MAX_HEADER_BYTES = 40  # of a datagram without items
 # Gateways that watch a source or cache and run its trials: two of them may be silent.
 WATCHERS = 3
-# If `poll` was not called for this long, the process had stalled, and datagrams waiting in its socket are
-# old.
+# If `poll` was not called for this long, the process stalled, and datagrams waiting in its socket are old.
 STALL_THRESHOLD = 5 * TURN
 STALL_DISCARD = 2 * TURN  # after a stall, datagrams are discarded as old for this long
 # How far a boot may be ahead of this gateway's, in tenths of a second (a day); later ones are invalid.
@@ -74,8 +72,7 @@
 
     def __init__(
         self, name: str, own_index: int, fleet_size: int, location: int, location_size: int, boot: int,
-        message_cost: float, seed: int,
-        now: int, features: frozenset[str] = frozenset(PIECES),
+        message_cost: float, seed: int, now: int, features: frozenset[str] = frozenset(PIECES),
     ) -> None:  # fmt: skip
         """`own_index`: in the list of peers; `fleet_size`, `location_size`: configured numbers of gateways,
         of the fleet and of this location; `location`: index of this location; `message_cost`: as for
