--- a/damsonstream/peers/wire.py
+++ b/damsonstream/peers/wire.py
@@ -29,21 +29,19 @@
 
 
 class Heartbeat(Struct, array_like=True, frozen=True, tag=0):
-    """Says that a gateway runs, and how many GETs it takes. `gateway` is the one that runs, whoever relays
-    it."""
+    """Says that the gateway `by` runs, and how many GETs it takes; relaying gateways leave `by` as it is."""
 
     by: PeerIndex
     boot: U32
     sequence: SequenceNumber
     location: PeerIndex
     demand: U32  # GETs a second, in hundredths; 0: not known yet
-    echo: SequenceNumber = (
-        0  # the receiver's last heartbeat that the sender received: shows both directions work
-    )
+    # sequence of the receiver's last heartbeat that the sender received: shows that both directions work
+    echo: SequenceNumber = 0
 
 
 class Doubt(Struct, array_like=True, frozen=True, tag=1):
-    """`reporter`, a neighbor of `suspect`, has received no heartbeat of it newer than this one."""
+    """The gateway `by` suspects its neighbor `of`, from which it received no heartbeat after this one."""
 
     by: PeerIndex
     of: PeerIndex
@@ -52,7 +50,7 @@
 
 
 class OutcomeReport(Struct, array_like=True, frozen=True, tag=2):
-    """The outcomes of forwards to a source or cache in the recent window of `gateway`."""
+    """The outcomes of forwards to a source or cache in the recent window of the gateway `by`."""
 
     by: PeerIndex
     boot: U32
@@ -61,13 +59,12 @@
     location: PeerIndex  # ALL_LOCATIONS, or the only location whose gateways it concerns
     successes: CappedCount
     failures: CappedCount
-    age: CappedCount = (
-        0  # tenths of a second since the last of those outcomes; each relay adds its holding time
-    )
+    # tenths of a second since the last of those outcomes; each gateway that relays it adds its holding time
+    age: CappedCount = 0
 
 
 class Trial(Struct, array_like=True, frozen=True, tag=3):
-    """A trial of a source by `gateway`. `state`: begun (0), succeeded (1) or failed (2)."""
+    """A trial of a source by the gateway `by`. `state`: begun (0), succeeded (1) or failed (2)."""
 
     by: PeerIndex
     boot: U32
--- a/damsonstream/virtual/fleet.py
+++ b/damsonstream/virtual/fleet.py
@@ -56,8 +56,9 @@
 class Fleet(Engine):
     def __init__(
         self, count: int, seed: int, *, sources: int = 4, demands: Iterable[float] | None = None,
-        links: Links | None = None, message_cost: float = 0.01, features: frozenset[str] = frozenset(PIECES),
-        locations: int = 1, max_clock_offset: int = 3 * S, fills_per_get: float = 0.3,
+        links: Links | None = None, message_cost: float = 0.01,
+        features: frozenset[str] = frozenset(PIECES), locations: int = 1, max_clock_offset: int = 3 * S,
+        fills_per_get: float = 0.3,
     ) -> None:  # fmt: skip
         """`demands`: GETs a second by gateway; `fills_per_get`: fills for each GET; `max_clock_offset`: how
         far the gateways' clocks may be apart."""
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -37,7 +37,8 @@
     st.builds(wire.Trial, indexes, u32s, st.integers(0, 1 << 40), u32s, indexes, st.integers(0, 2)),
     st.builds(wire.Doubt, indexes, indexes, u32s, st.integers(0, 1 << 40)),
     st.builds(wire.LeaseRequest, indexes, u32s, u32s, st.integers(1, 1_000_000)),
-    st.builds(wire.Zone, u32s, indexes, indexes, st.integers(0, 2), st.integers(0, 100), st.integers(0, 255)),
+    st.builds(wire.Zone, u32s, indexes, indexes, st.integers(0, 2), st.integers(0, 100),
+              st.integers(0, 255)),
     st.builds(wire.Grant, indexes, u32s, u32s, st.integers(1, 1_000_000), st.integers(1, 600_000)),
 )  # fmt: skip
 report_tables = st.dictionaries(
@@ -92,7 +93,8 @@
         agent.heard(0, 2, datagram(1, 10, heartbeat))  # from another gateway's address
         agent.heard(0, -1, datagram(1, 11, heartbeat))  # from an unknown address
         agent.heard(0, 2, datagram(2, 1, heartbeat, name="n1"))  # two gateways with one name
-        agent.heard(0, 3, datagram(3, 1, wire.Heartbeat(4, 0xFFFFFFFF, 1, 0, 1)))  # a boot far in the future
+        # a boot far in the future
+        agent.heard(0, 3, datagram(3, 1, wire.Heartbeat(4, 0xFFFFFFFF, 1, 0, 1)))
         counts = {name: count for name, count in agent.counted.items() if name not in ("sent", "bytes")}
         self.assertEqual(counts, {"heard": 3, "repeated": 2, "foreign": 2, "twin": 1, "nonsense": 1})
 
