--- a/damsonstream/peers/council.py
+++ b/damsonstream/peers/council.py
@@ -178,7 +178,7 @@
             return list(range(self.members.fleet_size))
         others = self.members.others
         return sorted(
-            [self.own_index, *(peer for peer, one in others.items() if one.location == self.location)]
+            [self.own_index, *(peer for peer, member in others.items() if member.location == self.location)]
         )
 
     def watchers(self, source: int, in_location: bool) -> list[int]:
@@ -306,7 +306,8 @@
 
     def apply_trial_outcome(self, now: int, source: int, outcome: str) -> list[PeersTold]:
         """Returns the verdict for the router on a trial of another gateway. Enough successes close the
-        breaker later, after this gateway's delay."""
+        breaker later, after this gateway's delay. Other results are not passed on for a source that
+        this gateway has yet to try itself."""
         if outcome in ("good", "well"):
             self.clear_source(source)
         if outcome == "well":
@@ -417,9 +418,9 @@
             )
             self.members.sequence += 1
             others = self.members.others.values()
-            self.far.set_peer_demands([one.demand for one in others if one.demand])
+            self.far.set_peer_demands([member.demand for member in others if member.demand])
             self.near.set_peer_demands(
-                [one.demand for one in others if one.demand and one.location == self.location]
+                [member.demand for member in others if member.demand and member.location == self.location]
             )
             for peer in self.heartbeat_targets(now):
                 member = self.members.others.get(peer)
--- a/damsonstream/peers/members.py
+++ b/damsonstream/peers/members.py
@@ -39,7 +39,7 @@
 SPLIT_WINDOW = (MISSED_HEARTBEATS + 1) * HEARTBEAT_INTERVAL
 FORGET_AFTER = 60 * S  # a silent gateway is forgotten after this time: longer than any restart
 STALL_THRESHOLD = HEARTBEAT_INTERVAL // 2  # longer between two ticks: this process stalled
-# of one boot; a larger one reported for this gateway is invalid, and leads to a new boot
+# Limit within one boot; a larger one that is reported for this gateway is invalid, and leads to a new boot.
 MAX_SEQUENCE = 1 << 32
 # If no reachable neighbor confirms a newer heartbeat for this long, links work in one direction only.
 ECHO_TIMEOUT = 4 * HEARTBEAT_INTERVAL
@@ -77,7 +77,7 @@
         self.own_index, self.boot, self.sequence = own_index, boot, 0
         # by index, below `fleet_size`; emptied after FORGET_AFTER of silence
         self.others: dict[int, Member] = {}
-        # by index; emptied by a newer heartbeat, or with its member
+        # suspected gateways, by index; emptied by a newer heartbeat, or with the member
         self.silences: dict[int, Suspected] = {}
         # last_received_at: when the last datagram of any gateway came
         self.started_at = self.ticked_at = self.last_received_at = now
@@ -156,8 +156,8 @@
         return True
 
     def receive_suspicion(self, now: int, suspicion: wire.Doubt) -> bool:
-        """Handles a suspicion; returns whether it is news. A suspicion of this gateway itself makes its next
-        heartbeat newer than the suspicion, and the caller publishes that at once."""
+        """Handles a suspicion; returns whether it is news. A suspicion that names this gateway makes its
+        next heartbeat newer than the suspicion; the caller publishes that heartbeat at once."""
         if suspicion.of == self.own_index:
             if suspicion.boot == self.boot:
                 self.sequence = max(self.sequence, suspicion.sequence) + 1
@@ -189,7 +189,7 @@
 
     def tick(self, now: int) -> list[wire.Doubt]:
         """Returns the suspicions to publish now. After a stall of this process, the time that it took is
-        added to all deadlines."""
+        added to all deadlines, and other gateways get the whole time again to refute suspicions."""
         stalled_for, self.ticked_at = now - self.ticked_at, now
         if stalled_for > STALL_THRESHOLD:
             self.last_received_at += stalled_for
--- a/damsonstream/peers/shares.py
+++ b/damsonstream/peers/shares.py
@@ -1,8 +1,8 @@
 """This gateway's share of the caps that hold for all gateways together. No I/O; the caller passes the time.
 
-Usage: `Shares(own_index, scope, count, now, static)`; `fraction(now)` is the fraction of any cap of that
-scope (the cold budget of a cache, a source's limit) that this gateway may use. `record_get(now)` is called
-for each GET. `renewals_and_requests(now, candidates)` returns the lease requests to send, `grant(now, peer,
+Usage: `Shares(own_index, scope, count, now, static)`; `fraction(now)` returns how much of any cap of that
+scope (the cold budget of a cache, a source's limit) this gateway may use. `record_get(now)` is called for
+each GET. `renewals_and_requests(now, candidates)` returns the lease requests to send, `grant(now, peer,
 request)` what is lent to another gateway, and `receive_grant(now, peer, grant)` accepts what another one
 lends.
 
--- a/damsonstream/virtual/zones.py
+++ b/damsonstream/virtual/zones.py
@@ -43,17 +43,17 @@
     zone_demand = demand_per_gateway * gateways / zones
     names = [f"z{n}" for n in range(zones)]
     nodes = [Node("vault", VAULT, names[0], 0.0)]
-    zones_made = []
+    zone_list = []
     for n, name in enumerate(names):
         others = [names[(n + step) % zones] for step in range(1, zones)]
-        zones_made.append(
+        zone_list.append(
             Zone(name, tuple(others), spill_fraction, region=f"r{n * 2 // zones}", ramp=RAMP_SECONDS)
         )
         nodes += [Node(f"{name}-h{h}", HUB, name, 2 * zone_demand / HUBS_PER_ZONE, ("vault",))
                   for h in range(HUBS_PER_ZONE)]  # fmt: skip
         sources = [f"{zone}-h{h}" for zone in (name, *others) for h in range(HUBS_PER_ZONE)]
         nodes.append(Node(f"{name}-c", CACHE, name, zone_demand, (*sources, "vault")))
-    return shape_of(1, nodes, zones_made, vault_cap=0.1 * demand_per_gateway * gateways)
+    return shape_of(1, nodes, zone_list, vault_cap=0.1 * demand_per_gateway * gateways)
 
 
 class ZoneFleet(Fleet):
