--- a/damsonstream/tiers/service.py
+++ b/damsonstream/tiers/service.py
@@ -93,8 +93,8 @@
         self.zones.look(now / SECOND)
 
     def zone_state(self, now: int, zone: str) -> tuple[str, int, int]:
-        verdict = self.zones.beliefs[zone].verdict
-        return self.zones.state(zone, now / SECOND), verdict.progress, verdict.flaps
+        status = self.zones.beliefs[zone].verdict
+        return self.zones.state(zone, now / SECOND), status.progress, status.flaps
 
     def dead(self, hub: str) -> bool:
         return False
--- a/damsonstream/tiers/verdicts.py
+++ b/damsonstream/tiers/verdicts.py
@@ -94,7 +94,7 @@
 
 
 @dataclass(slots=True)
-class Belief:
+class ZoneView:
     """What one gateway holds and has observed of a zone."""
 
     verdict: Verdict
@@ -124,7 +124,7 @@
 class Verdicts:
     """The views of all zones at one gateway."""
 
-    beliefs: dict[str, Belief] = field(default_factory=dict)
+    beliefs: dict[str, ZoneView] = field(default_factory=dict)
     quorum: int = QUORUM
     changes: int = 0
 
@@ -144,10 +144,10 @@
         for zone in [zone for zone in self.beliefs if zone not in zones]:
             del self.beliefs[zone]
         for zone, ramp in zones.items():
-            view = self.beliefs.setdefault(zone, Belief(Verdict(zone), ramp, now, now, last_failing_at=now))
+            view = self.beliefs.setdefault(zone, ZoneView(Verdict(zone), ramp, now, now, last_failing_at=now))
             view.ramp = ramp
 
-    def adopt(self, view: Belief, status: Verdict, now: float) -> None:
+    def adopt(self, view: ZoneView, status: Verdict, now: float) -> None:
         """Replaces the held status and updates the times that depend on it."""
         if status.state == LOST and view.verdict.state != LOST:
             view.good_trials = 0
@@ -207,17 +207,17 @@
         if view.verdict.state == LOST:
             view.good_trials = view.good_trials + 1 if good else 0
 
-    def quorum_sees_failure(self, view: Belief, now: float) -> bool:
+    def quorum_sees_failure(self, view: ZoneView, now: float) -> bool:
         """Returns whether a quorum saw the zone fail recently and no other gateway gets answers."""
         failed_here = view.local_failure_at > max(view.back_at, now - FAILURE_MEMORY_S)
         return (view.hubs_dead or view.agreeing + failed_here >= self.quorum) and not view.answered_elsewhere
 
-    def failed_fleetwide(self, view: Belief, now: float) -> bool:
+    def failed_fleetwide(self, view: ZoneView, now: float) -> bool:
         """Returns whether the zone has failed here for DOUBT_S and a quorum sees it."""
         persistent = view.failing_since >= 0 and now - view.failing_since >= DOUBT_S
         return persistent and self.quorum_sees_failure(view, now)
 
-    def recovered(self, view: Belief) -> bool:
+    def recovered(self, view: ZoneView) -> bool:
         """Returns whether a lost zone answers again: enough trials in a row, or answers to a quorum at
         once."""
         return view.good_trials >= TRIALS_TO_RETURN or (
@@ -238,11 +238,11 @@
                 due.append(view.verdict)
         return due
 
-    def step_due(self, view: Belief, now: float) -> bool:
+    def step_due(self, view: ZoneView, now: float) -> bool:
         """Returns whether this gateway may take the next step of a return."""
         return view.failing_since < 0 and now - view.status_since >= view.verdict.step_interval_s(view.ramp)
 
-    def advance_zone(self, view: Belief, now: float) -> None:
+    def advance_zone(self, view: ZoneView, now: float) -> None:
         """Makes at most one state change of a zone."""
         current = view.verdict
         if current.state != LOST and self.failed_fleetwide(view, now):
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -281,8 +281,8 @@
         for start, end, dead in spans:
             lines.append(f"from {start} s, dead: {sorted(dead) or 'none'}")
             lines += [f"  {line}" for line in self.feed(monitor, start, end, dead)]
-            share = {zone: round(part, 3) for zone, part in monitor.traffic_split("north", end).items()}
-            lines.append(f"  at {end} s shares of north's objects: {share}")
+            split = {zone: round(share, 3) for zone, share in monitor.traffic_split("north", end).items()}
+            lines.append(f"  at {end} s shares of north's objects: {split}")
         lines.append("flapping twice a minute")
         at = 100.0
         for _ in range(4):
@@ -324,11 +324,11 @@
 
     @given(st.floats(0, 1, exclude_max=True), st.floats(0, 1), st.floats(0, 1), st.floats(0, 1))
     def test_objects_return_one_by_one_and_do_not_move_between_other_zones(
-        self, place: float, first: float, more: float, takes: float
+        self, hash_point: float, first: float, more: float, takes: float
     ) -> None:
         low, high = sorted((first, more))
-        before = zone_for(place, "a", {"a": low, "b": min(takes, 1 - low)})
-        after = zone_for(place, "a", {"a": high, "b": min(takes, 1 - high)})
+        before = zone_for(hash_point, "a", {"a": low, "b": min(takes, 1 - low)})
+        after = zone_for(hash_point, "a", {"a": high, "b": min(takes, 1 - high)})
         if before == "a":
             self.assertEqual(after, "a")
         self.assertIn(after, {before, "a", None})
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -30,9 +30,9 @@
         self.assertEqual(merge(a, a), a)
 
     def test_the_more_severe_state_wins_a_tie(self) -> None:
-        lost, back = Verdict("north", 1, 2, LOST, 0), Verdict("north", 1, 2, RETURNING, 3)
-        self.assertEqual(merge(lost, back), lost)
-        self.assertEqual(merge(back, Verdict("north", 1, 2, RETURNING, 2)).progress, 2)
+        lost, returning = Verdict("north", 1, 2, LOST, 0), Verdict("north", 1, 2, RETURNING, 3)
+        self.assertEqual(merge(lost, returning), lost)
+        self.assertEqual(merge(returning, Verdict("north", 1, 2, RETURNING, 2)).progress, 2)
 
 
 class Fleet:
@@ -43,7 +43,7 @@
         self.trackers = [Verdicts.of(["north"], 0.0) for _ in range(count)]
         self.in_flight: list[tuple[float, int, Verdict]] = []
         self.partitioned: Callable[[int, int], bool] = lambda a, b: False
-        self.answers: Callable[[int], bool] = lambda place: (
+        self.answers: Callable[[int], bool] = lambda index: (
             True
         )  # whether the zone's hubs answer that gateway
         self.history: list[list[float]] = []
@@ -51,19 +51,19 @@
     def run(self, seconds: float) -> None:
         for _ in range(int(seconds * 4)):
             self.now += 0.25
-            for at, to, verdict in [message for message in self.in_flight if message[0] <= self.now]:
-                self.in_flight.remove((at, to, verdict))
-                self.trackers[to].heard(verdict, self.now)
+            for at, to, status in [message for message in self.in_flight if message[0] <= self.now]:
+                self.in_flight.remove((at, to, status))
+                self.trackers[to].heard(status, self.now)
             count = len(self.trackers)
             for me, tracker in enumerate(self.trackers):
                 reachable = [n for n in range(count) if n != me and not self.partitioned(n, me)]
                 agreeing = sum(not self.answers(n) for n in reachable)
                 tracker.sees("north", not self.answers(me), agreeing, len(reachable) - agreeing, self.now)
                 tracker.tried("north", self.answers(me), self.now)
-                for verdict in tracker.look(self.now, isolated=not reachable):
+                for status in tracker.look(self.now, isolated=not reachable):
                     for to in reachable:
                         if self.rng.random() >= self.lost:
-                            self.in_flight.append((self.now + self.rng.random() * self.late, to, verdict))
+                            self.in_flight.append((self.now + self.rng.random() * self.late, to, status))
             self.history.append([tracker.carries("north", self.now) for tracker in self.trackers])
 
     def states(self) -> set[str]:
@@ -75,22 +75,22 @@
         for seed, lost, late in ((1, 0.0, 0.3), (2, 0.3, 1.0), (3, 0.6, 5.0)):
             fleet = Fleet(9, seed, lost, late)
             fleet.run(3)
-            fleet.answers = lambda place: False
+            fleet.answers = lambda index: False
             fleet.run(8)
             self.assertEqual(fleet.states(), {LOST})
-            fleet.answers, began = (lambda place: True), fleet.now
+            fleet.answers, began = (lambda index: True), fleet.now
             fleet.run(DEFAULT_RAMP_S + 20)
             self.assertEqual(fleet.states(), {WELL})
-            for turn, shares in enumerate(fleet.history[int(began * 4) :], 1):
-                ramp = turn / 4 / DEFAULT_RAMP_S + 1 / RAMP_STEPS
+            for step, shares in enumerate(fleet.history[int(began * 4) :], 1):
+                ramp = step / 4 / DEFAULT_RAMP_S + 1 / RAMP_STEPS
                 self.assertLessEqual(max(shares), max(ramp, 0.05) + 1e-9)  # no gateway is ahead of the ramp
             self.assertLessEqual(max(tracker.changes for tracker in fleet.trackers), RAMP_STEPS + 3)
 
     def test_a_gateway_that_starts_during_a_return_joins_the_ramp(self) -> None:
         fleet = Fleet(6, 4)
-        fleet.answers = lambda place: False
+        fleet.answers = lambda index: False
         fleet.run(6)
-        fleet.answers = lambda place: True
+        fleet.answers = lambda index: True
         fleet.run(14)
         fleet.trackers[2] = Verdicts.of(["north"], fleet.now)
         fleet.run(3)
@@ -100,7 +100,7 @@
 
     def test_a_loss_that_only_some_gateways_see_stays_local(self) -> None:
         fleet = Fleet(8, 5)
-        fleet.answers = lambda place: place >= 4
+        fleet.answers = lambda index: index >= 4
         fleet.run(10)
         states = [tracker.state("north", fleet.now) for tracker in fleet.trackers]
         self.assertEqual(states, ["Lost here"] * 4 + [WELL] * 4)
@@ -109,7 +109,7 @@
     def test_an_isolated_gateway_decides_nothing_for_others(self) -> None:
         fleet = Fleet(5, 6)
         fleet.partitioned = lambda a, b: 0 in (a, b)
-        fleet.answers = lambda place: place != 0
+        fleet.answers = lambda index: index != 0
         fleet.run(10)
         self.assertEqual(fleet.trackers[0].state("north", fleet.now, True), "Cut off")
         self.assertEqual({tracker.beliefs["north"].verdict for tracker in fleet.trackers}, {Verdict("north")})
@@ -123,19 +123,19 @@
             answered.sees("north", False, 0, 0, 1.0, answered=True)
             self.assertFalse(answered.heard(false_status, 1.5))
             self.assertEqual(blind.heard(false_status, 1.5), adopted)
-        back = Verdict("north", 1, 3, RETURNING, 4)
-        self.assertFalse(answered.heard(back, 9.0))  # nor is the return from that false loss adopted
+        returning = Verdict("north", 1, 3, RETURNING, 4)
+        self.assertFalse(answered.heard(returning, 9.0))  # nor is the return from that false loss adopted
         self.assertEqual(answered.carries("north", 9.0), 1.0)
-        fresh, old = Verdicts.of(["north"], 8.0), Verdicts.of(["north"], -500.0)
-        for tracker in (fresh, old):
+        new, old = Verdicts.of(["north"], 8.0), Verdicts.of(["north"], -500.0)
+        for tracker in (new, old):
             tracker.sees("north", False, 0, 0, 9.0, answered=True)
-        self.assertEqual((fresh.heard(back, 9.0), old.heard(back, 9.0)), (True, False))
+        self.assertEqual((new.heard(returning, 9.0), old.heard(returning, 9.0)), (True, False))
 
     def test_a_gateway_isolated_during_a_return_does_not_advance(self) -> None:
         fleet = Fleet(5, 9)
-        fleet.answers = lambda place: False
+        fleet.answers = lambda index: False
         fleet.run(6)
-        fleet.answers = lambda place: True
+        fleet.answers = lambda index: True
         fleet.run(10)
         held = fleet.history[-1][0]
         fleet.partitioned = lambda a, b: 0 in (a, b)
@@ -149,11 +149,11 @@
     def test_a_partition_during_a_loss_heals(self) -> None:
         fleet = Fleet(8, 7)
         fleet.partitioned = lambda a, b: (a < 4) != (b < 4)
-        fleet.answers = lambda place: place < 4
+        fleet.answers = lambda index: index < 4
         fleet.run(8)
         self.assertEqual(fleet.trackers[7].beliefs["north"].verdict.state, LOST)
         self.assertEqual(fleet.trackers[0].beliefs["north"].verdict.state, WELL)
-        fleet.answers, fleet.partitioned = (lambda place: True), (lambda a, b: False)
+        fleet.answers, fleet.partitioned = (lambda index: True), (lambda a, b: False)
         fleet.run(DEFAULT_RAMP_S + 10)
         self.assertEqual(fleet.states(), {WELL})
 
@@ -162,10 +162,10 @@
         fleet = Fleet(5, 8)
         held = []
         for _ in range(3):
-            fleet.answers = lambda place: False
+            fleet.answers = lambda index: False
             fleet.run(4)
             began = fleet.now
-            fleet.answers = lambda place: True
+            fleet.answers = lambda index: True
             fleet.run(10)
             since = fleet.history[int(began * 4) :]
             held.append(next((n for n, shares in enumerate(since) if max(shares) > 0.01), 99) / 4)
@@ -189,13 +189,13 @@
         self,
         policy: SpillPolicy,
         home: str,
-        place: float,
-        carries: Callable[[str], float],
-        part: float,
+        hash_point: float,
+        home_share: Callable[[str], float],
+        gateway_share: float,
         now: float,
     ) -> str | None:
         """Sends a fill to the nearest candidate zone, charges it and returns the zone."""
-        zone = next(iter(policy.candidate_zones(home, place, carries, part, now)), None)
+        zone = next(iter(policy.candidate_zones(home, hash_point, home_share, gateway_share, now)), None)
         if zone not in (None, home):
             policy.charge(home, zone)
         return zone
@@ -220,14 +220,16 @@
         lost = lambda zone: 0.0 if zone == "north" else 1.0  # noqa: E731
         for tick in range(800):
             now = 100.0 + tick / 200
-            policy, part = rng.choice(fleet)
+            policy, gateway_share = rng.choice(fleet)
             for _ in range(4):
-                if (zone := self.send_fill(policy, "north", 0.7 * rng.random(), lost, part, now)) is not None:
+                if (
+                    zone := self.send_fill(policy, "north", 0.7 * rng.random(), lost, gateway_share, now)
+                ) is not None:
                     into.append((now, zone))
         for zone, limit in (("south", 20.0), ("west", 10.0)):
             times = [at for at, one in into if one == zone]
             # each gateway has saved at most a second of its share, or one fill where that is less
-            most = limit + sum(max(1.0, limit * part * BURST_S) for _, part in fleet)
+            most = limit + sum(max(1.0, limit * gateway_share * BURST_S) for _, gateway_share in fleet)
             for start in times:
                 self.assertLessEqual(sum(start <= at < start + 1.0 for at in times), most + 1e-6)
 
@@ -264,12 +266,12 @@
 
     def test_unhealthy_zones_accept_no_spill_and_only_a_share_may_leave(self) -> None:
         policy = SpillPolicy(three_zones(), 0.99)
-        carries = {"north": 0.0, "south": 0.5, "west": 1.0}.__getitem__
-        policy.candidate_zones("north", 0.5, carries, 1.0, 0.0)
-        self.assertEqual(policy.candidate_zones("north", 0.5, carries, 1.0, 1.0), ["west"])
-        self.assertEqual(policy.candidate_zones("south", 0.9, carries, 1.0, 1.0), [])  # north is lost too
+        home_share = {"north": 0.0, "south": 0.5, "west": 1.0}.__getitem__
+        policy.candidate_zones("north", 0.5, home_share, 1.0, 0.0)
+        self.assertEqual(policy.candidate_zones("north", 0.5, home_share, 1.0, 1.0), ["west"])
+        self.assertEqual(policy.candidate_zones("south", 0.9, home_share, 1.0, 1.0), [])  # north is lost too
         self.assertEqual(
-            policy.candidate_zones("north", 0.9, carries, 1.0, 2.0), []
+            policy.candidate_zones("north", 0.9, home_share, 1.0, 2.0), []
         )  # beyond the share that may leave
 
     def test_zones_of_the_own_region_come_first(self) -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -63,8 +63,8 @@
         self.service = Service(Alone(1), 0, self.now)
         self.assertIsNone(self.service.apply(self.now, two_zones()))
 
-    def among(self, cache: str = "c1", place: float = 0.5, sources: list[str] = ALL) -> list[str]:
-        return self.service.among(self.now, cache, place, sources)
+    def among(self, cache: str = "c1", hash_point: float = 0.5, sources: list[str] = ALL) -> list[str]:
+        return self.service.among(self.now, cache, hash_point, sources)
 
     def run_for(self, seconds: float) -> None:
         for _ in range(int(seconds * 10)):
@@ -136,7 +136,7 @@
         self.assertEqual(self.state(), RETURNING)
         shares = []
         for _ in range(12):
-            shares.append(sum("p1" in self.among(place=n / 50, sources=["p1"]) for n in range(50)) / 50)
+            shares.append(sum("p1" in self.among(hash_point=n / 50, sources=["p1"]) for n in range(50)) / 50)
             self.run_for(1)
         self.assertEqual(shares, sorted(shares))
         self.assertLess(shares[0], 0.2)
@@ -198,10 +198,10 @@
         tokens = self.service.near.buckets["south"].tokens
         self.assertIsNone(self.service.apply(self.now, two_zones(2, cap=5.0)))  # during the loss
         self.assertEqual((self.state(), self.service.near.buckets["south"].tokens), (LOST, tokens))
-        gone = two_zones(3)
+        reduced = two_zones(3)
         for name in ("p3", "c2"):
-            gone = gone.without_node(name)
-        self.assertIsNone(self.service.apply(self.now, gone))
+            reduced = reduced.without_node(name)
+        self.assertIsNone(self.service.apply(self.now, reduced))
         self.assertNotIn("p3", self.among())
 
     def test_each_gateway_uses_only_sources_of_its_own_revision(self) -> None:
@@ -368,13 +368,15 @@
     @given(st.floats(0, 1), st.sets(st.sampled_from(["north", "south", "east"]), min_size=1))
     def test_a_forecast_places_all_fills_and_exceeds_no_limit(self, misses: float, zones: set[str]) -> None:
         topology = self.example("ok-three-zones")
-        found = loss.lost(topology, tuple(sorted(zones)), misses)
-        for zone, limit in found.limits.items():
-            self.assertLessEqual(sum(f for (_, into), f in found.spilt.items() if into == zone), limit + 1e-6)
-        self.assertFalse({into for _, into in found.spilt} & zones)
-        self.assertLessEqual(found.vault, topology.vault_cap + 1e-6)
-        moved = sum(found.spilt.values()) + found.vault + sum(found.held_back.values())
-        self.assertAlmostEqual(moved, sum(found.asked.get(zone, 0.0) for zone in zones), places=4)
+        forecast = loss.lost(topology, tuple(sorted(zones)), misses)
+        for zone, limit in forecast.limits.items():
+            self.assertLessEqual(
+                sum(f for (_, into), f in forecast.spilt.items() if into == zone), limit + 1e-6
+            )
+        self.assertFalse({into for _, into in forecast.spilt} & zones)
+        self.assertLessEqual(forecast.vault, topology.vault_cap + 1e-6)
+        moved = sum(forecast.spilt.values()) + forecast.vault + sum(forecast.held_back.values())
+        self.assertAlmostEqual(moved, sum(forecast.asked.get(zone, 0.0) for zone in zones), places=4)
 
 
 class Commands(unittest.TestCase):
--- a/tests/test_zones_model.py
+++ b/tests/test_zones_model.py
@@ -69,7 +69,7 @@
             for tracker in self.trackers for b in tracker.beliefs.values()
         ]  # fmt: skip
         first = sorted((zone, epoch, ago(at)) for (zone, epoch), at in self.returned_at.items())
-        in_flight = sorted((to, verdict.key, verdict.zone) for to, verdict in self.in_flight)
+        in_flight = sorted((to, status.key, status.zone) for to, status in self.in_flight)
         return (
             tuple(held),
             tuple(first),
@@ -94,10 +94,10 @@
                 bad = self.sees_failure(me, zone)
                 tracker.sees(zone, bad, agreeing, 2 - agreeing, self.now, not bad)
                 tracker.tried(zone, not bad, self.now)
-            for verdict in tracker.look(self.now):
+            for status in tracker.look(self.now):
                 for to in range(3):
                     if to != me and len(self.in_flight) < MAX_IN_FLIGHT:
-                        self.in_flight.append((to, verdict))
+                        self.in_flight.append((to, status))
         self.note_returns()
 
     def note_returns(self) -> None:
@@ -107,12 +107,12 @@
                     self.returned_at.setdefault((zone, view.verdict.epoch), self.now)
 
     def deliver(self, number: int, keep: bool) -> None:
-        to, verdict = self.in_flight[number]
+        to, status = self.in_flight[number]
         if not keep:
             del self.in_flight[number]
-        view = self.trackers[to].beliefs[verdict.zone]
+        view = self.trackers[to].beliefs[status.zone]
         before = view.verdict.key
-        self.trackers[to].heard(verdict, self.now)
+        self.trackers[to].heard(status, self.now)
         self.reverted |= view.verdict.key < before
         self.note_returns()
 
@@ -152,31 +152,31 @@
     def label(self) -> set[str]:
         found = {"reverted"} if self.reverted else set()
         for tracker in self.trackers:
-            carries = {zone: tracker.carries(zone, self.now) for zone in ZONES}
+            home_share = {zone: tracker.carries(zone, self.now) for zone in ZONES}
             for zone, view in tracker.beliefs.items():
-                verdict = view.verdict
-                if verdict.state == RETURNING:
-                    since = self.now - self.returned_at[zone, verdict.epoch]
-                    if verdict.progress > 1 + since / verdict.step_interval_s(view.ramp):
+                status = view.verdict
+                if status.state == RETURNING:
+                    since = self.now - self.returned_at[zone, status.epoch]
+                    if status.progress > 1 + since / status.step_interval_s(view.ramp):
                         found.add("ahead")
-                if verdict.state == WELL and verdict.epoch and (zone, verdict.epoch) in self.returned_at:
-                    since = self.now - self.returned_at[zone, verdict.epoch]
-                    if since < verdict.step_interval_s(view.ramp) - 1e-9:
+                if status.state == WELL and status.epoch and (zone, status.epoch) in self.returned_at:
+                    since = self.now - self.returned_at[zone, status.epoch]
+                    if since < status.step_interval_s(view.ramp) - 1e-9:
                         found.add("ahead")
-                if verdict.step > verdicts.RAMP_STEPS + 1 or verdict.epoch > MAX_FAULTS:
+                if status.step > verdicts.RAMP_STEPS + 1 or status.epoch > MAX_FAULTS:
                     found.add("unbounded")
-                if verdict.epoch:
+                if status.epoch:
                     found.add("sent")
                 other = "south" if zone == "north" else "north"
-                near = SpillPolicy(SHAPE, 0.99)
-                near.candidate_zones(
-                    zone, 0.999, carries.__getitem__, 1.0, self.now
+                policy = SpillPolicy(SHAPE, 0.99)
+                policy.candidate_zones(
+                    zone, 0.999, home_share.__getitem__, 1.0, self.now
                 )  # starts to fill the bucket
-                if other in near.candidate_zones(zone, 0.999, carries.__getitem__, 1.0, self.now + 1) and (
-                    tracker.state(other, self.now) not in (WELL, "Doubted")
-                ):
+                if other in policy.candidate_zones(
+                    zone, 0.999, home_share.__getitem__, 1.0, self.now + 1
+                ) and (tracker.state(other, self.now) not in (WELL, "Doubted")):
                     found.add("cascade")
-                if carries[zone] < 1:
+                if home_share[zone] < 1:
                     found.add("degraded")
         return found
 
@@ -251,12 +251,14 @@
         def one_is_enough(self: Verdicts, view: Any, now: float) -> bool:
             return True
 
-        def last_wins(self: Verdicts, verdict: Verdict, now: float) -> bool:
-            self.adopt(self.beliefs[verdict.zone], verdict, now)
+        def last_wins(self: Verdicts, status: Verdict, now: float) -> bool:
+            self.adopt(self.beliefs[status.zone], status, now)
             return True
 
-        def into_any_zone(self: SpillPolicy, zone: str, carries: Any, part: float, now: float) -> bool:
-            return self.buckets[zone].has_token(self.limit(zone) * part, now)
+        def into_any_zone(
+            self: SpillPolicy, zone: str, home_share: Any, gateway_share: float, now: float
+        ) -> bool:
+            return self.buckets[zone].has_token(self.limit(zone) * gateway_share, now)
 
         def without_quorum(self: Verdicts, view: Any, now: float) -> bool:
             return bool(view.failing_since >= 0)
