--- a/damsonstream/tiers/service.py
+++ b/damsonstream/tiers/service.py
@@ -211,8 +211,11 @@
             vault = [name for name in vault if self.shield.has_token(at)]
         selected = [name for zone in zones for name in allowed if zone_by_hub.get(name) == zone]
         if home not in zones:
-            lost = self.common.zone_carries(now, home) < FIRST_SHARE  # a returning zone is bound by its ramp
-            probe = lost and self.trial_bucket(home).has_token(TRIAL_RATE * self.common.part(now, True), at)
+            lost = self.common.zone_carries(now, home) < FIRST_SHARE  # a returning zone has its ramp
+            probe = lost and self.trial_bucket(home).has_token(
+                TRIAL_RATE * self.common.part(now, True),
+                at,
+            )
             selected = [
                 n for n in allowed if zone_by_hub.get(n) == home and (probe or n in self.tripped)
             ] + selected
--- a/damsonstream/tiers/verdicts.py
+++ b/damsonstream/tiers/verdicts.py
@@ -58,7 +58,8 @@
 ANSWER_MEMORY_S = 2.0
 # A received epoch further ahead is rejected as corrupt: it would win over every later one.
 MAX_EPOCH_LEAD = 16
-BY_CARE = sorted(CARE, key=CARE.__getitem__)  # the codes on the wire are indexes into this list
+# The codes of states on the wire are indexes into this list.
+BY_CARE = sorted(CARE, key=CARE.__getitem__)
 MAX_FLAPS = 32  # flap count stops here, where the hold time has long reached its bound
 
 
@@ -129,7 +130,12 @@
     changes: int = 0
 
     @classmethod
-    def of(cls, zones: Iterable[str] | Mapping[str, float], now: float, gateways: int = QUORUM) -> Verdicts:
+    def of(
+        cls,
+        zones: Iterable[str] | Mapping[str, float],
+        now: float,
+        gateways: int = QUORUM,
+    ) -> Verdicts:
         """Creates a tracker.
 
         `zones`: their names, or each one's ramp in seconds by name; `gateways` in the fleet: of fewer than
@@ -144,7 +150,10 @@
         for zone in [zone for zone in self.beliefs if zone not in zones]:
             del self.beliefs[zone]
         for zone, ramp in zones.items():
-            view = self.beliefs.setdefault(zone, ZoneView(Verdict(zone), ramp, now, now, last_failing_at=now))
+            view = self.beliefs.setdefault(
+                zone,
+                ZoneView(Verdict(zone), ramp, now, now, last_failing_at=now),
+            )
             view.ramp = ramp
 
     def adopt(self, view: ZoneView, status: Verdict, now: float) -> None:
@@ -254,7 +263,9 @@
         elif current.state == LOST and self.recovered(view) and now - view.status_since >= current.hold_s:
             view.failing_since = -1.0  # failures from the time of the loss no longer count
             self.adopt(
-                view, Verdict(current.zone, current.epoch, current.step + 1, RETURNING, 1, current.flaps), now
+                view,
+                Verdict(current.zone, current.epoch, current.step + 1, RETURNING, 1, current.flaps),
+                now,
             )
         elif current.state == RETURNING and self.step_due(view, now):
             progress = current.progress + 1
