--- a/damsonstream/tiers/checks.py
+++ b/damsonstream/tiers/checks.py
@@ -19,7 +19,9 @@
 class Problem:
     """One rule that a topology breaks. `tiers check --json` prints the fields under their names."""
 
-    kind: str  # loop, crossing, unknown, vault, orphan, no-way, too-deep, role, zone, capacity or size
+    # loop, crossing (a cycle of two revisions together), unknown (source), vault (not exactly one), orphan
+    # (no sources), no-way (no path to the vault), too-deep, role, zone, capacity or size
+    kind: str
     what: str
     loop: tuple[str, ...] = ()  # the nodes of the cycle, for the kinds loop and crossing
     of: str = ""  # the zone or node to correct
--- a/damsonstream/tiers/near.py
+++ b/damsonstream/tiers/near.py
@@ -4,7 +4,7 @@
 `SpillPolicy(topology, phase)`: `candidate_zones(home, hash_point, home_share, gateway_share, now)` returns
 the zones whose hubs may be asked for an object of that hash (0 to 1), the nearest first. `charge(home, zone)`
 accounts for a fill that goes to another zone, `refund(home, zone)` reverses that when the copy was in the
-cache already, and `record_result` of a zone's bucket is told how a fill ended.
+cache already, and `record_result` of a zone's bucket takes the outcome of a fill.
 
 The home zone comes first, for the share of its objects that its hubs serve. The rest goes to the zones that
 home prefers, those of its own region first, up to each one's limit. All spill into a zone is charged to one
--- a/damsonstream/tiers/service.py
+++ b/damsonstream/tiers/service.py
@@ -131,9 +131,8 @@
         self.sources_by_cache: dict[str, frozenset[str]] = {}
         self.zone_by_hub: dict[str, str] = {}
         self.vaults: frozenset[str] = frozenset()
-        self.local_zones: set[str] = (
-            set()
-        )  # zones of this gateway's own caches, added at the first fill that looks beyond the home hubs
+        # zones of this gateway's own caches, added at the first fill that looks beyond the home hubs
+        self.local_zones: set[str] = set()
 
     # revisions and node states
 
--- a/damsonstream/tiers/shield.py
+++ b/damsonstream/tiers/shield.py
@@ -32,7 +32,7 @@
 MIN_FACTOR = 0.05
 DECREASE_FACTOR, INCREASE_STEP = 0.85, 0.02  # one failed fill in seven keeps the factor level
 SCARCE_SHARE = 0.5  # below this share of the bucket only fills of more than average worth pass
-MAX_RETRY_AFTER_S = 5.0  # seconds; clients do not act on a longer Retry-After
+MAX_RETRY_AFTER_S = 5.0  # seconds; a longer Retry-After would be of no use to clients
 
 
 class Shield:
@@ -41,13 +41,10 @@
     def __init__(self, cap: float, now: float) -> None:
         self.cap = cap
         self.gateways = 1  # number of gateways that the rate is based on
-        self.share = (
-            -1.0
-        )  # this gateway's share if the fleet assigns it (peers/shares.py); negative: 1 / gateways
-        self.pending_gateways, self.pending_since = (
-            0,
-            now,
-        )  # a smaller number that is not applied yet, and since when
+        # this gateway's share if the fleet assigns it (peers/shares.py); negative: 1 / gateways
+        self.share = -1.0
+        # a smaller number that is not applied yet, and since when
+        self.pending_gateways, self.pending_since = 0, now
         self.tokens, self.updated_at = 0.0, now
         self.factor = 1.0
         self.mean_worth = 0.0  # moving average of the worth of requested fills
@@ -69,6 +66,7 @@
             self.pending_gateways, self.pending_since = max(1, gateways), now
 
     def apply_pending(self, now: float) -> None:
+        """Applies a decrease of gateways that has lasted for SETTLE_S."""
         if self.pending_gateways and now - self.pending_since >= SETTLE_S:
             self.refill(now)
             self.gateways, self.pending_gateways = self.pending_gateways, 0
@@ -129,8 +127,8 @@
         )
 
 
-def worst_case(cap: float, gateways: int, believed: int, span: float) -> float:
+def worst_case(cap: float, gateways: int, known_gateways: int, span: float) -> float:
     """Returns the most fills that `gateways` running gateways together may start in `span` seconds if each
-    learned a number of at least `believed` within the last SETTLE_S."""
-    rate = cap / max(1, believed)
+    learned a number of at least `known_gateways` within the last SETTLE_S."""
+    rate = cap / max(1, known_gateways)
     return gateways * (rate * span + max(1.0, rate * BURST_S))
--- a/damsonstream/tiers/verdicts.py
+++ b/damsonstream/tiers/verdicts.py
@@ -1,7 +1,7 @@
 """Replicates the state of each zone across the fleet without a coordinator. No I/O; times are seconds on a
 monotonic clock of the gateway's own.
 
-`ZoneTracker.create(zones, now)`: `observe(zone, failing, agreeing, answered_elsewhere, now)` is told what
+`ZoneTracker.create(zones, now)`: `observe(zone, failing, agreeing, answered_elsewhere, now)` records what
 this gateway's forwards show of a zone's hubs, how many other gateways see it fail and how many get answers
 from it (peers/evidence.py). `record_trial(zone, good, now)` takes each trial at a lost zone, from any
 gateway, `receive(status, now)` the statuses that other gateways hold. `advance(now)` makes the state changes
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -43,9 +43,8 @@
         self.trackers = [Verdicts.of(["north"], 0.0) for _ in range(count)]
         self.in_flight: list[tuple[float, int, Verdict]] = []
         self.partitioned: Callable[[int, int], bool] = lambda a, b: False
-        self.answers: Callable[[int], bool] = lambda index: (
-            True
-        )  # whether the zone's hubs answer that gateway
+        # whether the zone's hubs answer that gateway
+        self.answers: Callable[[int], bool] = lambda index: True
         self.history: list[list[float]] = []
 
     def run(self, seconds: float) -> None:
@@ -115,8 +114,7 @@
         self.assertEqual({tracker.beliefs["north"].verdict for tracker in fleet.trackers}, {Verdict("north")})
 
     def test_a_false_status_affects_only_gateways_without_own_observations(self) -> None:
-        """A gateway sends a false loss or a corrupt epoch; gateways that get answers from the zone reject
-        it."""
+        """A gateway sends a false loss or a corrupt epoch; gateways that get answers reject it."""
         lost, corrupt = Verdict("north", 1, 0, LOST, 0), Verdict("north", 99, 0, LOST, 0)
         for false_status, adopted in ((corrupt, False), (lost, True)):
             answered, blind = Verdicts.of(["north"], 0.0), Verdicts.of(["north"], 0.0)
@@ -158,7 +156,7 @@
         self.assertEqual(fleet.states(), {WELL})
 
     def test_flaps_are_damped_across_the_fleet(self) -> None:
-        """A zone is lost every 14 s: each return begins later, also at a gateway that saw no flap itself."""
+        """A zone is lost every 14 s: each return begins later, and restarted gateways learn the flaps."""
         fleet = Fleet(5, 8)
         held = []
         for _ in range(3):
@@ -270,9 +268,8 @@
         policy.candidate_zones("north", 0.5, home_share, 1.0, 0.0)
         self.assertEqual(policy.candidate_zones("north", 0.5, home_share, 1.0, 1.0), ["west"])
         self.assertEqual(policy.candidate_zones("south", 0.9, home_share, 1.0, 1.0), [])  # north is lost too
-        self.assertEqual(
-            policy.candidate_zones("north", 0.9, home_share, 1.0, 2.0), []
-        )  # beyond the share that may leave
+        # beyond the share that may leave
+        self.assertEqual(policy.candidate_zones("north", 0.9, home_share, 1.0, 2.0), [])
 
     def test_zones_of_the_own_region_come_first(self) -> None:
         shape = three_zones()
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -113,9 +113,8 @@
             self.run_for(0.1)
             for _ in range(5):
                 if self.among(sources=["p1"]):
-                    self.assertEqual(
-                        self.service.sent(self.now, "c1", "p1"), ""
-                    )  # its breaker is Open: the router's own trial
+                    # its breaker is Open: the router's own trial
+                    self.assertEqual(self.service.sent(self.now, "c1", "p1"), "")
                     tried += 1
         self.assertEqual(tried, 500)  # trials of the router's breaker are not limited here
         self.service.turned("p1", "Closed")
@@ -168,8 +167,8 @@
         paid = [self.service.sent(self.now, "c1", "p3") for _ in range(10)]
         self.assertEqual(set(paid), {SPILL_BUDGET})
         self.assertEqual(self.among(sources=["p3"]), [])  # the spill limit of south for a second is used up
-        for one in paid:
-            self.service.unspent("c1", "p3", one)
+        for budget in paid:
+            self.service.unspent("c1", "p3", budget)
         self.assertEqual(self.among(sources=["p3"]), ["p3"])
         while self.among(sources=["o"]):
             paid = [self.service.sent(self.now, "c1", "o")]
@@ -277,7 +276,7 @@
         self.assertEqual({source for at, source in fills if at < 102 * S}, {"p1", "p2"})
         self.assertEqual(service.common.zone_state(desk.now, "north")[0], LOST)
         for source, limit in (("p3", 10.0), ("o", 4.0)):
-            times = [at for at, one in fills if one == source]
+            times = [at for at, filled_from in fills if filled_from == source]
             self.assertGreater(len(times), 3 * limit)
             for start in times:
                 self.assertLessEqual(sum(start <= at < start + S for at in times), 2 * limit + 1)
--- a/tests/test_zones_model.py
+++ b/tests/test_zones_model.py
@@ -52,9 +52,8 @@
         self.failing: tuple[str, ...] = ()
         self.faults = self.restarts = 0
         self.reverted = False  # whether a received status ever replaced a later one
-        self.returned_at: dict[
-            tuple[str, int], float
-        ] = {}  # by zone and epoch: when the first gateway held the zone as returning
+        # by zone and epoch: when the first gateway held the zone as returning
+        self.returned_at: dict[tuple[str, int], float] = {}
 
     def state_key(self) -> tuple[object, ...]:
         def ago(at: float) -> float:
@@ -169,9 +168,8 @@
                     found.add("sent")
                 other = "south" if zone == "north" else "north"
                 policy = SpillPolicy(SHAPE, 0.99)
-                policy.candidate_zones(
-                    zone, 0.999, home_share.__getitem__, 1.0, self.now
-                )  # starts to fill the bucket
+                # the first call starts to fill the bucket
+                policy.candidate_zones(zone, 0.999, home_share.__getitem__, 1.0, self.now)
                 if other in policy.candidate_zones(
                     zone, 0.999, home_share.__getitem__, 1.0, self.now + 1
                 ) and (tracker.state(other, self.now) not in (WELL, "Doubted")):
@@ -207,7 +205,7 @@
 
 
 class ReachableStates(unittest.TestCase):
-    MAX_STATES = 2000
+    MAX_STATES = 2000  # then the remaining states continue without faults
 
     def setUp(self) -> None:
         patches = ExitStack()
