--- a/damsonstream/tiers/near.py
+++ b/damsonstream/tiers/near.py
@@ -31,9 +31,8 @@
 
 BURST_S = 1.0  # seconds of its part that a gateway may save up: enough for a fill of the largest object
 GOLDEN_RATIO = 0.618034  # multiples of it modulo 1 are evenly spread, however many there are
-IDLE_RESET_S = (
-    30.0  # seconds without use after which a bucket restarts at its phase: its state is from an earlier fault
-)
+# Seconds without use after which a bucket restarts at its phase: its state is from an earlier fault.
+IDLE_RESET_S = 30.0
 # As in shield.py: one failed fill in seven keeps the factor level.
 DECREASE_FACTOR, INCREASE_STEP = 0.85, 0.02
 MIN_FACTOR = 0.05  # least share of its part that remains: without any fills a recovery would not be noticed
@@ -78,9 +77,8 @@
             self.capacities[node.zone] = self.capacities.get(node.zone, 0.0) + node.capacity
         names = enumerate(sorted(self.zones))
         self.buckets = {name: TokenBucket((phase + n * GOLDEN_RATIO) % 1.0) for n, name in names}
-        self.spilt: Counter[tuple[str, str]] = (
-            Counter()
-        )  # fills by (home, other zone); bounded by the pairs of zones
+        # fills by (home, other zone); bounded by the pairs of zones
+        self.spilt: Counter[tuple[str, str]] = Counter()
         self.held_back: Counter[str] = Counter()  # by home zone: fills that no source accepted
 
     def limit(self, zone: str) -> float:
--- a/damsonstream/tiers/service.py
+++ b/damsonstream/tiers/service.py
@@ -123,9 +123,8 @@
         self.revisions = Revisions()
         self.near = SpillPolicy(Shape(), self.phase)
         self.shield = Shield(0.0, now / SECOND)
-        self.tripped: set[str] = (
-            set()
-        )  # hubs whose breaker is not Closed; removed when it closes or the file drops the hub
+        # hubs whose breaker is not Closed; removed when it closes or the file drops the hub
+        self.tripped: set[str] = set()
         self.failure_runs: Counter[str] = Counter()  # consecutive failures by hub of the file
         self.observations: dict[str, ZoneObservation] = {}  # by zone of the file
         self.hubs_by_zone: dict[str, list[str]] = {}
