--- a/damsonstream/bench/__main__.py
+++ b/damsonstream/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Hosts gateways on the bench's wire: batches on standard input, replies on standard output."""
+"""Runs gateways for the bench: batches of events on standard input, actions on standard output."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Gateway:
-    """One instance: its router and the names of its delivery services."""
+    """One gateway instance: its router, and the indexes of its delivery services by name."""
 
     def __init__(self) -> None:
         self.router = Router()
@@ -22,6 +22,7 @@
 
 
 def host(lines: Iterable[str], out: TextIO) -> None:
+    """Handles the events of all batches; raises WireError for a line that breaks the protocol."""
     gateways: dict[str, Gateway] = {}
     source = iter(lines)
     now, frame = 0, ""
@@ -66,7 +67,7 @@
             continue
         try:
             actions = gateway.router.handle(now, event)
-        except Exception as fault:  # the wire has an action for it: the day ends with this text
+        except Exception as fault:  # reported with its own action, on which the bench ends the run
             text = " ".join(f"{type(fault).__name__}: {fault}".split())
             reply.append(f"INTERNAL_ERROR gateway={who} bodyText={text}")
             traceback.print_exc()
--- a/damsonstream/bench/codec.py
+++ b/damsonstream/bench/codec.py
@@ -1,6 +1,6 @@
-"""The bench's wire, line by line: text in and out, nothing decided.
+"""Translates between the lines of the bench's protocol and the router's events and actions.
 
-Wire names end here; times leave here as whole tenths of a millisecond.
+The protocol's names are used only here. Its times are converted to integers in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from damsonstream.program.config import US, footprint, tenths
 from damsonstream.routing import interface as i
 
-LOADS = {"concurrent": "held", "load_share": "busy", "x0": "hits", "x1": "link"}  # x1 of a cache
+LOADS = {"concurrent": "held", "load_share": "busy", "x0": "hits", "x1": "link"}
 LIST_KINDS = {"D": "changes", "F": "full", "C": "cached", "X": "lost"}
 RESULTS = {
     "delivered": "returned",
@@ -28,11 +28,11 @@
 
 
 class WireError(Exception):
-    """A line that does not follow the wire's page."""
+    """A line that breaks the bench's protocol."""
 
 
 def split(line: str) -> tuple[str, dict[str, str]]:
-    """Name and parts of one line; a text or JSON part runs to the end of the line."""
+    """Splits a line into its name and its parts; a text or JSON part extends to the end of the line."""
     name, _, rest = line.partition(" ")
     parts: dict[str, str] = {}
     while rest:
@@ -47,6 +47,7 @@
 
 
 def entry(parts: dict[str, str]) -> i.Entry:
+    """Decodes an entry of the list of caches."""
     return i.Entry(
         cache=parts["cache"],
         location=parts.get("locality", ""),
@@ -61,7 +62,10 @@
 def event(
     name: str, p: dict[str, str], entries: tuple[i.Entry, ...], services: dict[str, int]
 ) -> i.Event | None:
-    """One event of the wire in our words; None for what the router does not listen to."""
+    """Decodes an event; returns None for one that the router does not handle.
+
+    The service indexes of an ENLIST event are added to `services`.
+    """
     if name == "ENLIST":
         told = json.loads(p["params"])
         services.update({lane["name"]: place for place, lane in enumerate(told["lanes"])})
@@ -105,6 +109,7 @@
 
 
 def action(gateway: str, a: i.Action) -> str:
+    """Encodes an action of that gateway as a line."""
     head = f"gateway={gateway}"
     match a:
         case i.Forward():
--- a/damsonstream/routing/gateway.py
+++ b/damsonstream/routing/gateway.py
@@ -1,7 +1,7 @@
-"""Owns the router and its clock: events in, actions out to the tasks of the GETs.
+"""Owns the router and its clock, and passes its actions to the tasks of the GETs.
 
-How it is called: `tell(event)` hands an event to the router; what it decides on a GET goes into that GET's
-`Inbox`, wakes are kept by `keep_time()`. Types of events and actions: `damsonstream/routing/interface.py`.
+`handle_event(event)` hands an event to the router. Actions for a GET go into that GET's `Inbox`. Wake-ups
+need one call of `start_timer()`. The types of events and actions are in `damsonstream/routing/interface.py`.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 log = logging.getLogger(__name__)
 Step = TypeVar("Step")
-TENTHS = 10  # tenths of a millisecond in a millisecond
-NS = 100_000  # nanoseconds in a tenth of a millisecond
+TENTHS = 10  # a tick is a tenth of a millisecond
+NS = 100_000
 
 
 class Clock:
-    """The router's clock: monotonic tenths of a millisecond, set once by the Unix clock at the start.
+    """The router's clock: monotonic ticks of 0.1 ms, set once from the Unix clock at the start.
 
-    The one place where Unix milliseconds become the router's time.
+    All conversions of Unix milliseconds to the router's time are made here.
     """
 
     def __init__(
@@ -40,16 +40,16 @@
         return (self.monotonic() + self.offset) // NS
 
     def since(self, unix_ms: int) -> int:
-        """A start as told, the same number each time it is told."""
+        """Converts the start time of a process; the same input always gives the same number."""
         return unix_ms * TENTHS
 
     def age(self, unix_ms: int) -> int:
-        """How long ago that was by the Unix clock as it stands now."""
+        """Returns how long ago the time was by the current Unix clock, or 0 if it is in the future."""
         return max(0, self.unix() // NS - unix_ms * TENTHS)
 
 
 class Inbox(Generic[Step]):
-    """What the task of one GET has to do next; emptied by that task."""
+    """Queue of the steps that the task of one GET has to carry out."""
 
     def __init__(self) -> None:
         self.steps: deque[Step] = deque()
@@ -68,7 +68,10 @@
 
 
 class Observer(Protocol):
-    """Is told of all that is decided and seen; `now` is the router's clock. Must neither raise nor wait."""
+    """Receives all events and decisions, for the records.
+
+    `now` is the time of the router's clock. The methods must neither raise nor block.
+    """
 
     def opened(
         self, now: int, number: int, ident: bytes, service: int, thing: str, group: int, left: int,
@@ -87,21 +90,23 @@
 
 
 class Gateway:
+    """One router with its clock, its timer and the inboxes of the open GETs."""
+
     def __init__(
         self, seed: int, footprint: i.Footprint, clock: Clock, observer: Observer | None = None,
         fleet: i.Fleet | None = None, tiers: i.Tiers | None = None,
     ) -> None:  # fmt: skip
         self.clock, self.router, self.observer = clock, Router(), observer
-        self.inboxes: dict[int, Inbox[i.Action]] = {}  # by GET; emptied as its task ends
-        self.wakes: list[int] = []  # emptied by time
+        self.inboxes: dict[int, Inbox[i.Action]] = {}  # by GET, until its task ends
+        self.wakes: list[int] = []  # heap of requested wake-up times
         self.loop: asyncio.AbstractEventLoop | None = None
-        self.timer: asyncio.TimerHandle | None = None  # one, for the first of the wakes
+        self.timer: asyncio.TimerHandle | None = None  # for the earliest wake-up
         self.armed = 0
         self.numbers = 0
         self.tell(i.Started(seed, footprint, fleet, tiers))
 
     def open(self, inbox: Inbox[i.Action]) -> int:
-        """A number for a GET, under which its task is found from now on."""
+        """Registers the inbox of a new GET and returns the GET's number."""
         self.numbers += 1
         self.inboxes[self.numbers] = inbox
         return self.numbers
@@ -110,6 +115,7 @@
         self.inboxes.pop(get, None)
 
     def tell(self, event: i.Event) -> None:
+        """Hands an event to the router and carries out its actions."""
         now = self.clock.now()
         actions = self.router.handle(now, event)
         if self.observer is not None and actions:
@@ -125,10 +131,10 @@
                 case i.Trace():
                     log.info("decided", extra={"what": action.text})
                 case i.AskForList():
-                    pass  # the bulletin pushes
+                    pass  # the bulletin sends the list unasked
 
     def told(self, event: bulletin.Event) -> None:
-        """News of the bulletin, in the router's words."""
+        """Converts an event of the bulletin and hands it to the router."""
         match event:
             case bulletin.ListChanged():
                 entries = tuple(
@@ -141,11 +147,12 @@
                 self.tell(i.Purged(event.thing, event.group, self.clock.age(event.issued_ms)))
 
     def keep_time(self) -> None:
-        """Wakes the router when it asked to be woken, from now on."""
+        """Starts delivering the router's wake-ups in the running event loop."""
         self.loop = asyncio.get_running_loop()
         self.arm()
 
     def arm(self) -> None:
+        """Sets the timer to the earliest wake-up, unless it is set to that time or before."""
         if self.loop is None or not self.wakes or (self.timer is not None and self.armed <= self.wakes[0]):
             return
         if self.timer is not None:
--- a/damsonstream/routing/interface.py
+++ b/damsonstream/routing/interface.py
@@ -1,6 +1,6 @@
-"""Types that pass in and out of the router. Nothing is decided here.
+"""Types of the router's events and actions, and of the interfaces that it calls.
 
-Times are whole tenths of a millisecond, on a clock that only goes forward.
+All times are integers in tenths of a millisecond, on a monotonic clock.
 """
 
 from __future__ import annotations
@@ -11,193 +11,224 @@
 
 @dataclass(slots=True, frozen=True)
 class DeliveryService:
-    """One delivery service as told at start."""
+    """Configuration of one delivery service."""
 
     name: str
     objective: int  # latency objective
-    stretch: float  # the objective grows by so many times the sending time
+    stretch: float  # the objective grows by this multiple of the transfer time
     viewer_timeout: int
-    revenue: float
-    late_share: float
+    revenue: float  # for a GET returned in time
+    late_share: float  # share of the revenue earned by a late answer
     effect: str  # idempotent, tokened or non-idempotent
-    scope: str  # of tokened ones: all, zone or cell
-    remembered: int  # of tokened ones: how long a repeat is known
+    scope: str  # where the token of a tokened GET is recognized: all, zone or cell
+    remembered: int  # how long the token of a tokened GET is recognized
     streamed: bool
-    fresh: int  # 0: until purged
-    grace: int  # how much older than fresh may be asked for
-    passes: bool  # never kept, runs at the origin
+    fresh: int  # maximum age of a copy, 0: until purged
+    grace: int  # by how much a copy may be older if nothing fresher is available
+    passes: bool  # never cached, every GET goes to the origin
 
 
 @dataclass(slots=True, frozen=True)
 class Footprint:
-    """What a gateway is told at start of the system it stands in."""
+    """Configuration of the system that a gateway belongs to."""
 
     services: tuple[DeliveryService, ...]
     location: str
-    gateways: int
-    location_gateways: int
+    gateways: int  # in all locations
+    location_gateways: int  # in this location
     models: tuple[str, ...]
     parent_model: str
     origin_model: str
-    weights: str  # none, nominal, rough or live
-    ask_for_list: bool
-    ask_within: int
-    client_kb_per_s: float
-    notes: str  # all, hit or none
-    joins: bool
-    direct: bool
-    tick: int
-    cancel: bool
-    second_copies: bool
-    retry_after: bool
-    max_forwards: int
+    weights: str  # how accurate the capacity units of the list are: none, nominal, rough or live
+    ask_for_list: bool  # the list of caches must be subscribed to
+    ask_within: int  # time in which a lost subscription must be renewed
+    client_kb_per_s: float  # transfer rate to clients, 0: unknown
+    notes: str  # which fill codes the caches report: all, hit or none
+    joins: bool  # caches collapse concurrent fills of an object
+    direct: bool  # GETs may be forwarded to a parent or the origin without a cache
+    tick: int  # resolution of timers
+    cancel: bool  # a forward can be recalled
+    second_copies: bool  # hedges are allowed
+    retry_after: bool  # a shed GET may carry a retry delay
+    max_forwards: int  # for one GET
     max_retry_after: int
-    cold_share: float
-    cold_for: int
-    cold_multiple: float
-    cold_span: int
+    cold_share: float  # share of its capacity that a cache has right after its start
+    cold_for: int  # time from a cache's start to its full capacity
+    cold_multiple: float  # load that makes a cold cache fail, as a multiple of its current capacity
+    cold_span: int  # time for which a cold cache bears such a load
     parent_cold_share: float
     parent_cold_for: int
     parent_cold_multiple: float
-    purge_settles: int
+    purge_settles: int  # time after which a purge has reached every cache
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One line of the list of caches."""
+    """One entry of the list of caches: a cache, a parent or the origin."""
 
     cache: str
     location: str
     state: str  # active, leaving or left
-    units: float
-    cell: int
+    units: float  # capacity in concurrent transfers
+    cell: int  # group of caches within the location that share tokens
     model: str
-    since: int  # clock time of its last start, 0: long ago
+    since: int  # clock time of its last start, 0: unknown, it is warm
 
 
 class Fleet(Protocol):
-    """What many gateways decide together, asked by the router (damsonstream/peers/council.py). A source or
-    cache goes by the low 32 bits of its hash; `home`: it is of this location, and so are those asked."""
+    """Decisions that the gateways make together (implemented by damsonstream/peers/council.py).
+
+    A node is identified by the low 32 bits of its hash. `home` is true for caches of this location, which
+    concern only the gateways of the location; parents and the origin concern all gateways.
+    """
 
     def asked(self, now: int) -> None:
-        """A GET was taken."""
+        """Called for each GET received."""
 
     def listed(self, home: tuple[int, ...], far: tuple[int, ...]) -> None:
-        """The sources of the list."""
+        """Called with the active nodes of the list: caches of this location, and parents with the origin."""
 
     def anew(self, source: int) -> None:
-        """It runs as a new process."""
+        """Called when the node has restarted as a new process."""
 
     def saw(self, now: int, source: int, home: bool, bad: bool) -> None:
-        """A forward there ended, as its breaker was told."""
+        """Called with each outcome that is recorded in the node's breaker."""
 
     def turn(self, now: int, source: int, home: bool, since: int) -> bool:
-        """Whether it is this gateway's turn to try a Half-Open one whose cool-down was over then."""
+        """Returns whether this gateway may send a trial to a Half-Open node.
+
+        `since` is the time from which its breaker allows the trial.
+        """
 
-    def trying(self, now: int, source: int, home: bool) -> None: ...
+    def trying(self, now: int, source: int, home: bool) -> None:
+        """Called when a trial is sent."""
+        ...
 
-    def tried(self, now: int, source: int, home: bool, good: bool) -> None: ...
+    def tried(self, now: int, source: int, home: bool, good: bool) -> None:
+        """Called when a trial has ended."""
+        ...
 
     def part(self, now: int, home: bool) -> float:
-        """Its part of what holds for all gateways, of its location or of the fleet."""
+        """Returns this gateway's share of a limit that is common to its location or to all gateways."""
 
 
 class Tiers(Protocol):
-    """The operator's hierarchy, asked by the router (damsonstream/tiers/service.py)."""
+    """The operator's cache hierarchy (implemented by damsonstream/tiers/service.py)."""
 
     def has(self, cache: str) -> bool:
-        """Whether it says who fills it; else the cache is not used."""
+        """Returns whether the hierarchy contains the cache; one that it does not contain is not used."""
 
     def among(self, now: int, cache: str, place: float, sources: list[str]) -> list[str]:
-        """Of the sources that could be used, in hash order, those that may fill this cache's object now,
-        whose hash is `place` (0 to 1), in the order in which they should; of the own zone alone where that
-        may be asked."""
+        """Returns the sources that may fill an object in this cache now, in order of preference.
+
+        `sources` are the usable ones in hash order, `place` is the object's hash as a fraction in (0, 1).
+        Only sources of the cache's own zone are returned while that zone may be used.
+        """
 
     def sent(self, now: int, cache: str, source: str) -> str:
-        """A forward names a source; the mark is what it was paid from, for `unspent`."""
+        """Called when a forward with a source is sent; returns the budget it was charged to."""
 
     def unspent(self, cache: str, source: str, paid: str) -> None:
-        """The copy was in the cache: the source was not asked."""
+        """Refunds a charge: the cache had a copy, so the source was not used."""
 
     def saw(self, now: int, source: str, bad: bool) -> None:
-        """A fill there ended, as its breaker was told."""
+        """Called with each outcome of a fill that is recorded in the source's breaker."""
 
     def turned(self, source: str, state: str) -> None:
-        """Its breaker's new state."""
+        """Called with each new state of the source's breaker."""
 
 
 @dataclass(slots=True, frozen=True)
 class Started:
+    """The first event of a router."""
+
     seed: int
     footprint: Footprint
-    fleet: Fleet | None = None  # None: it decides alone
+    fleet: Fleet | None = None  # None: the gateway decides alone
     tiers: Tiers | None = None  # None: any parent in hash order, then the origin
 
 
 @dataclass(slots=True, frozen=True)
 class ListTold:
-    kind: str  # changes, full, cached or lost
+    """An update of the list of caches."""
+
+    # changes: only changed entries; full: the whole list; cached: the whole list, as last known;
+    # lost: no entries, the subscription to the list has ended
+    kind: str
     entries: tuple[Entry, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class GetTaken:
+    """A GET was received."""
+
     get: int
-    left: int
-    service: int  # place in Footprint.services
-    thing: str  # the object
-    group: int
-    size_kb: float  # 0: not told
-    repeated: bool  # the client marked it as its own repeat
+    left: int  # time until the viewer timeout
+    service: int  # index in Deployment.services
+    thing: str
+    group: int  # purge group of the object
+    size_kb: float  # 0: unknown
+    repeated: bool  # the client marked it as its own retry
 
 
 @dataclass(slots=True, frozen=True)
 class Purged:
+    """A purge of an object or of a whole group was received."""
+
     thing: str  # empty: the whole group
     group: int
-    age: int
+    age: int  # time since the purge was issued
 
 
 @dataclass(slots=True, frozen=True)
 class ClientLeft:
+    """The client has disconnected or no longer waits."""
+
     get: int
 
 
 @dataclass(slots=True, frozen=True)
 class AnswerStarted:
+    """The answer of a forward is already being sent to the client."""
+
     get: int
     leg: int
 
 
 @dataclass(slots=True, frozen=True)
 class ForwardEnded:
+    """A forward has ended."""
+
     get: int
-    leg: int
+    leg: int  # number of the forward within the GET, from 0
     cache: str
-    result: str  # returned, errored, shed, expired, unreached, broken, recalled, unsent or lacking
+    result: str  # returned, errored, shed, expired, unreached, broken, recalled, unsent or lacking (a miss)
     took: int
-    first_byte: int  # 0: not told
-    note: int  # 0: not told
-    over: bool
-    # one symptom for several forwards: its connection broke, and another forward on that tells of it
+    first_byte: int  # time the cache waited for the source's first byte, 0: unknown
+    # 0: unknown, 1: hit, 2: filled, 3: filled through the origin, 4: joined another fill, 5: stale copy,
+    # 6: source refused, 7: source broke, 8: source has no copy, 9: no slot, 10: origin failed
+    note: int
+    over: bool  # the GET has its final answer or its client has left
+    # lost with its connection, which also carried another forward that is reported with False: one failure
     shared: bool = False
-    # what the cache told of its load: held (GETs), busy (share of its cores), hits (share), and how full the
-    # link into its location is (transfers over those that fit at full pace); each where the site tells it
+    # the cache's load report, each value where the platform provides it: held (GETs in progress), busy (share
+    # of its CPU), hits (hit ratio), link (load of the link into the location, 1: just full)
     load: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
 class PeersTold:
-    """What the fleet found of a source: dead (enough saw nothing else), or by trials of others: bad, good
-    (one), well (as many as the design asks for)."""
+    """A verdict of the peer gateways on a node."""
 
     source: int
+    # dead: enough gateways observe only failures; bad or good: one trial of another gateway failed or
+    # succeeded; well: as many trials succeeded as close a breaker
     what: str
 
 
 @dataclass(slots=True, frozen=True)
 class Woken:
-    pass
+    """A requested wake-up is due."""
 
 
 Event = Started | ListTold | GetTaken | Purged | ClientLeft | AnswerStarted | ForwardEnded | PeersTold | Woken
@@ -205,48 +236,60 @@
 
 @dataclass(slots=True, frozen=True)
 class Forward:
+    """Sends a GET to a cache, which may fill a missing object from the source."""
+
     get: int
     cache: str
-    source: str  # the cache itself: nothing is filled
-    rank: int
+    source: str  # the cache itself: no fill is allowed
+    rank: int  # the cache's retention priority for the object
     patience: int  # 0: until the viewer timeout
-    age: int  # oldest copy that will do, 0: the fresh time
-    join: bool
-    renew: bool
-    copies: bool  # the source gives only what it holds
+    age: int  # maximum age of an acceptable copy, 0: the service's default
+    join: bool  # collapse the fill with a concurrent one
+    renew: bool  # request the option "refresh" of the caches' protocol
+    copies: bool  # the source serves only what it has cached
 
 
 @dataclass(slots=True, frozen=True)
 class Recall:
+    """Cancels a forward."""
+
     get: int
     leg: int
 
 
 @dataclass(slots=True, frozen=True)
 class Shed:
+    """Answers the client that it may repeat the GET later."""
+
     get: int
-    come_back: int  # 0: no advice
+    come_back: int  # 0: no retry delay is given
 
 
 @dataclass(slots=True, frozen=True)
 class Errored:
+    """Answers the client with an error: the GET may have executed and must not be repeated."""
+
     get: int
 
 
 @dataclass(slots=True, frozen=True)
 class Wake:
+    """Requests a Woken event after that time."""
+
     after: int
 
 
 @dataclass(slots=True, frozen=True)
 class AskForList:
-    pass
+    """Subscribes to the list of caches."""
 
 
 @dataclass(slots=True, frozen=True)
 class Trace:
-    text: str
-    # what a breaker was judged on as it opened: bad ones in a row, fills in the window, weighted failures
+    """A new state of a breaker, for the log and the records."""
+
+    text: str  # role, name and state, separated by spaces
+    # why a breaker opened: failures in a row, fills in the window, weighted failures in the window
     judged: tuple[int, float, float] = (0, 0.0, 0.0)
 
 
--- a/damsonstream/routing/life.py
+++ b/damsonstream/routing/life.py
@@ -1,8 +1,7 @@
-"""The life of one GET, top to bottom in one task, from being taken to its final answer.
+"""Runs each GET in one task, from its arrival to its final answer.
 
-How it is called: `Lives(gateway, send).begin(get, answer)`; `answer` is called once, unless the client has
-left (`get.left()` tells). The router is asked at each point of choice through `gateway.tell`; nothing is
-decided here.
+`GetTasks(gateway, send).start(get, answer)` starts a GET. `answer` is called once, unless the client leaves
+before (`get.left()`). The router makes every decision and gets its events through `gateway.handle_event`.
 """
 
 from __future__ import annotations
@@ -25,11 +24,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Left:
-    """The client has gone, or no longer waits."""
+    """The client has disconnected or no longer waits."""
 
 
 class Leg(Protocol):
-    """A forward that is out, as the transport holds it."""
+    """The transport's handle of a pending forward."""
 
     def stop(self) -> None: ...
 
@@ -37,7 +36,7 @@
 Ending = resp.Answer | resp.Lost
 Sender = Callable[
     [str, bytes, bytes, Callable[[Ending], None]], Leg
-]  # cache, ident, command, told of its end
+]  # cache, id, command, callback for the end
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,17 +50,17 @@
 
 @dataclass(slots=True)
 class Out:
-    """A forward that is out: where, since when, and what it can be given up by."""
+    """A pending forward."""
 
     cache: str
     sent: int
-    patience: int  # clock time at which it expires, 0: with the GET
+    patience: int  # clock time of its own timeout, 0: none but the GET's
     handle: Leg
 
 
 @dataclass(slots=True)
 class Get:
-    """A GET as it was taken."""
+    """A GET as received from the client."""
 
     ident: bytes
     service: int
@@ -69,7 +68,7 @@
     group: int
     left_ms: int
     repeated: bool
-    same: bytes  # the fields that go on unchanged, ready for the cache's wire
+    same: bytes  # the fields passed on unchanged, in the encoding of the caches' protocol
     body: bytes
     inbox: Inbox[Step] = field(default_factory=Inbox)
 
@@ -83,7 +82,7 @@
 
     outcome: str
     body: bytes = b""
-    same: bool = False  # the client's copy is the one
+    same: bool = False  # the client's copy is still valid
     come_back_ms: int = 0
 
 
@@ -91,16 +90,18 @@
 
 
 class Lives:
-    """The tasks of GETs. A task that has lived one GET waits for the next: to start one of anyio's for each
-    took a sixth of the core at 2,000 GETs a second."""
+    """The tasks of the open GETs.
 
-    IDLE = 512  # tasks kept waiting: those of a busy second
+    Tasks are reused: starting an anyio task for each GET took a sixth of the CPU core at 2,000 GETs/s.
+    """
+
+    IDLE = 512  # enough for the tasks of a busy second
 
     def __init__(self, gateway: Gateway, send: Sender) -> None:
         self.gateway, self.send = gateway, send
         self.group: TaskGroup | None = None
         self.idle: list[asyncio.Future[Job]] = []
-        self.idents: set[bytes] = set()  # of open GETs; emptied as they end
+        self.idents: set[bytes] = set()  # client's ids of the open GETs
 
     def begin(self, get: Get, answer: Callable[[Final], None]) -> None:
         assert self.group is not None
@@ -122,8 +123,9 @@
 
 
 async def live(gateway: Gateway, send: Sender, get: Get, answer: Callable[[Final], None]) -> None:
+    """Carries out the router's actions for one GET until it is answered and all its forwards have ended."""
     clock, inbox, outs, legs, over = gateway.clock, get.inbox, dict[int, Out](), 0, False
-    patient = False  # whether a forward has a time of its own
+    patient = False  # whether any forward has a timeout of its own
     end = clock.now() + get.left_ms * TENTHS
     number, seen = gateway.open(inbox), gateway.observer  # type: ignore[arg-type]
 
@@ -173,7 +175,7 @@
                 case i.Forward():
                     leg, now = legs, clock.now()
                     legs += 1
-                    if over:  # decided while the answer waited for this task: nothing goes out after it
+                    if over:  # decided before this task gave the answer: send nothing after the answer
                         outs[leg] = Out(step.cache, now, 0, NOT_OUT)
                         ended(leg, resp.Lost("unsent"), True)
                         continue
@@ -197,7 +199,7 @@
                     out.handle = send(step.cache, get.ident, command, at_end)
                 case Ended():
                     if step.leg not in outs:
-                        continue  # given up meanwhile
+                        continue  # already ended by a recall or timeout
                     good = isinstance(step.ending, resp.Answer) and step.ending.result == "returned"
                     if good and not over:
                         assert isinstance(step.ending, resp.Answer)
@@ -227,6 +229,8 @@
 
 
 class NotOut:
+    """Handle of a forward that has not been sent."""
+
     def stop(self) -> None:
         pass
 
