--- a/damsonstream/bench/__main__.py
+++ b/damsonstream/bench/__main__.py
@@ -21,18 +21,18 @@
         self.services: dict[str, int] = {}
 
 
-def host(lines: Iterable[str], out: TextIO) -> None:
+def serve(lines: Iterable[str], out: TextIO) -> None:
     """Handles the events of all batches; raises WireError for a line that breaks the protocol."""
     gateways: dict[str, Gateway] = {}
-    source = iter(lines)
+    remaining = iter(lines)
     now, frame = 0, ""
     reply: list[str] = []
     in_batch = False
-    for raw in source:
+    for raw in remaining:
         line = raw.rstrip("\r\n")
         if not line:
             continue
-        name, parts = codec.split(line)
+        name, parts = codec.split_line(line)
         if name == "BEGIN_BATCH":
             if in_batch:
                 raise codec.WireError("BEGIN_BATCH inside a batch")
@@ -47,39 +47,39 @@
             continue
         if name not in codec.EVENTS:
             raise codec.WireError(f"unknown event {name!r}")
-        who = parts["gateway"]
+        gateway_name = parts["gateway"]
         if name == "ENLIST":
-            gateways[who] = Gateway()
-        if who not in gateways:
-            raise codec.WireError(f"{name} for an unknown instance {who!r}")
+            gateways[gateway_name] = Gateway()
+        if gateway_name not in gateways:
+            raise codec.WireError(f"{name} for an unknown instance {gateway_name!r}")
         if name == "RETIRE":
-            del gateways[who]
+            del gateways[gateway_name]
             continue
         entries: list[interface.Entry] = []
         for _ in range(int(parts.get("items", 0)) if name == "DIRECTORY_UPDATE" else 0):
-            tag, fields = codec.split(next(source, "").rstrip("\r\n"))
+            tag, fields = codec.split_line(next(remaining, "").rstrip("\r\n"))
             if tag != "M":
                 raise codec.WireError(f"list entry expected, got {tag!r}")
-            entries.append(codec.entry(fields))
-        gateway = gateways[who]
-        event = codec.event(name, parts, tuple(entries), gateway.services)
+            entries.append(codec.decode_entry(fields))
+        gateway = gateways[gateway_name]
+        event = codec.decode_event(name, parts, tuple(entries), gateway.services)
         if event is None:
             continue
         try:
             actions = gateway.router.handle(now, event)
-        except Exception as fault:  # reported with its own action, on which the bench ends the run
-            text = " ".join(f"{type(fault).__name__}: {fault}".split())
-            reply.append(f"INTERNAL_ERROR gateway={who} bodyText={text}")
+        except Exception as error:  # reported with its own action, on which the bench ends the run
+            text = " ".join(f"{type(error).__name__}: {error}".split())
+            reply.append(f"INTERNAL_ERROR gateway={gateway_name} bodyText={text}")
             traceback.print_exc()
             continue
-        reply.extend(codec.action(who, action) for action in actions)
+        reply.extend(codec.encode_action(gateway_name, action) for action in actions)
 
 
 def main() -> int:
     try:
-        host(sys.stdin, sys.stdout)
-    except (codec.WireError, KeyError, ValueError) as fault:
-        print(f"malformed wire: {type(fault).__name__}: {fault}", file=sys.stderr)
+        serve(sys.stdin, sys.stdout)
+    except (codec.WireError, KeyError, ValueError) as error:
+        print(f"malformed wire: {type(error).__name__}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/damsonstream/bench/codec.py
+++ b/damsonstream/bench/codec.py
@@ -10,7 +10,7 @@
 from damsonstream.program.config import US, footprint, tenths
 from damsonstream.routing import interface as i
 
-LOADS = {"concurrent": "held", "load_share": "busy", "x0": "hits", "x1": "link"}
+LOAD_KEYS = {"concurrent": "held", "load_share": "busy", "x0": "hits", "x1": "link"}
 LIST_KINDS = {"D": "changes", "F": "full", "C": "cached", "X": "lost"}
 RESULTS = {
     "delivered": "returned",
@@ -31,7 +31,7 @@
     """A line that breaks the bench's protocol."""
 
 
-def split(line: str) -> tuple[str, dict[str, str]]:
+def split_line(line: str) -> tuple[str, dict[str, str]]:
     """Splits a line into its name and its parts; a text or JSON part extends to the end of the line."""
     name, _, rest = line.partition(" ")
     parts: dict[str, str] = {}
@@ -46,7 +46,7 @@
     return name, parts
 
 
-def entry(parts: dict[str, str]) -> i.Entry:
+def decode_entry(parts: dict[str, str]) -> i.Entry:
     """Decodes an entry of the list of caches."""
     return i.Entry(
         cache=parts["cache"],
@@ -55,68 +55,70 @@
         units=float(parts.get("units", 1)),
         cell=int(parts.get("cluster", 0)),
         model=parts.get("model", ""),
-        since=tenths(parts.get("since", 0)),
+        started_at=tenths(parts.get("since", 0)),
     )
 
 
-def event(
-    name: str, p: dict[str, str], entries: tuple[i.Entry, ...], services: dict[str, int]
+def decode_event(
+    name: str, parts: dict[str, str], entries: tuple[i.Entry, ...], services: dict[str, int]
 ) -> i.Event | None:
     """Decodes an event; returns None for one that the router does not handle.
 
     The service indexes of an ENLIST event are added to `services`.
     """
     if name == "ENLIST":
-        told = json.loads(p["params"])
-        services.update({lane["name"]: place for place, lane in enumerate(told["lanes"])})
-        return i.Started(int(p["nonce64"]), footprint(told))
+        settings = json.loads(parts["params"])
+        services.update({lane["name"]: index for index, lane in enumerate(settings["lanes"])})
+        return i.Started(int(parts["nonce64"]), footprint(settings))
     if name == "DIRECTORY_UPDATE":
-        return i.ListTold(LIST_KINDS[p["kind"]], entries)
+        return i.ListTold(LIST_KINDS[parts["kind"]], entries)
     if name == "ACCEPT":
         return i.GetTaken(
-            get=int(p["xid"]),
-            left=tenths(p["left"]),
-            service=services[p["tierClass"]],
-            thing=p.get("contentId", ""),
-            group=int(float(p.get("labelNo", -1))),
-            size_kb=float(p.get("volumeKb", 0)),
-            repeated=p.get("againByClient", "0") == "1",
+            get=int(parts["xid"]),
+            left=tenths(parts["left"]),
+            service=services[parts["tierClass"]],
+            object_id=parts.get("contentId", ""),
+            group=int(float(parts.get("labelNo", -1))),
+            size_kb=float(parts.get("volumeKb", 0)),
+            is_retry=parts.get("againByClient", "0") == "1",
         )
     if name == "VOIDED":
         return i.Purged(
-            p.get("contentId", ""), int(float(p.get("familyId", -1))), -(-int(p.get("oldness", 0)) // US)
+            parts.get("contentId", ""),
+            int(float(parts.get("familyId", -1))),
+            -(-int(parts.get("oldness", 0)) // US),
         )
     if name == "GONE":
-        return i.ClientLeft(int(p["xid"]))
+        return i.ClientLeft(int(parts["xid"]))
     if name == "WAKE":
         return i.Woken()
     if name == "ESTABLISHED":
-        return i.AnswerStarted(int(p["xid"]), int(p.get("leg", 0)))
+        return i.AnswerStarted(int(parts["xid"]), int(parts.get("leg", 0)))
     if name == "CLOSED_ATTEMPT":
-        load = dict(pair.split(":", 1) for pair in p.get("healthInfo", "").split(",") if ":" in pair)
+        load = dict(pair.split(":", 1) for pair in parts.get("healthInfo", "").split(",") if ":" in pair)
         return i.ForwardEnded(
-            get=int(p["xid"]),
-            leg=int(p.get("leg", 0)),
-            cache=p.get("cache", ""),
-            result=RESULTS[p["code"]],
-            took=tenths(p.get("delaySeen", 0)),
-            first_byte=tenths(p.get("firstByte", 0)),
-            note=int(p.get("remark", 0)),
-            over=p.get("over", "0") == "1",
-            load={LOADS[key]: float(value) for key, value in load.items() if key in LOADS},
+            get=int(parts["xid"]),
+            leg=int(parts.get("leg", 0)),
+            cache=parts.get("cache", ""),
+            result=RESULTS[parts["code"]],
+            took=tenths(parts.get("delaySeen", 0)),
+            first_byte=tenths(parts.get("firstByte", 0)),
+            note=int(parts.get("remark", 0)),
+            over=parts.get("over", "0") == "1",
+            load={LOAD_KEYS[key]: float(value) for key, value in load.items() if key in LOAD_KEYS},
         )
     return None
 
 
-def action(gateway: str, a: i.Action) -> str:
+def encode_action(gateway: str, a: i.Action) -> str:
     """Encodes an action of that gateway as a line."""
     head = f"gateway={gateway}"
     match a:
         case i.Forward():
-            opts = (1 if a.join else 0) + (2 if a.copies else 0) + (8 if a.renew else 0)
+            opts = (1 if a.join else 0) + (2 if a.copies else 0) + (8 if a.refresh else 0)
             return (
-                f"LOOK_AND_FILL {head} xid={a.get} holdRank={a.rank} fillFrom={a.source} "
-                f"patience={a.patience * US} oldness={a.age * US} cache={a.cache} opts={opts}"
+                f"LOOK_AND_FILL {head} xid={a.get} holdRank={a.retention_rank} fillFrom={a.source} "
+                f"patience={a.timeout * US} oldness={a.age * US} cache={a.cache} opts={opts}"
             )
         case i.Recall():
             return f"RECALL {head} xid={a.get} leg={a.leg}"
--- a/damsonstream/routing/gateway.py
+++ b/damsonstream/routing/gateway.py
@@ -39,7 +39,7 @@
     def now(self) -> int:
         return (self.monotonic() + self.offset) // NS
 
-    def since(self, unix_ms: int) -> int:
+    def from_unix_ms(self, unix_ms: int) -> int:
         """Converts the start time of a process; the same input always gives the same number."""
         return unix_ms * TENTHS
 
@@ -74,15 +74,17 @@
     """
 
     def opened(
-        self, now: int, number: int, ident: bytes, service: int, thing: str, group: int, left: int,
-        repeated: bool,
+        self, now: int, number: int, ident: bytes, service: int, object_id: str, group: int, time_left: int,
+        is_retry: bool,
     ) -> None: ...  # fmt: skip
 
-    def sent(self, now: int, number: int, leg: int, forward: i.Forward) -> None: ...
+    def sent(self, now: int, number: int, attempt: int, forward: i.Forward) -> None: ...
 
     def came(self, now: int, event: i.ForwardEnded, stamp: int) -> None: ...
 
-    def final(self, now: int, number: int, outcome: str, come_back: int, size: int, leg: int) -> None: ...
+    def final(
+        self, now: int, number: int, outcome: str, retry_after: int, size: int, attempt: int
+    ) -> None: ...
 
     def left(self, now: int, number: int) -> None: ...
 
@@ -93,25 +95,25 @@
     """One router with its clock, its timer and the inboxes of the open GETs."""
 
     def __init__(
-        self, seed: int, footprint: i.Footprint, clock: Clock, observer: Observer | None = None,
-        fleet: i.Fleet | None = None, tiers: i.Tiers | None = None,
+        self, seed: int, deployment: i.Footprint, clock: Clock, observer: Observer | None = None,
+        peers: i.PeerGroup | None = None, hierarchy: i.Hierarchy | None = None,
     ) -> None:  # fmt: skip
         self.clock, self.router, self.observer = clock, Router(), observer
         self.inboxes: dict[int, Inbox[i.Action]] = {}  # by GET, until its task ends
-        self.wakes: list[int] = []  # heap of requested wake-up times
+        self.wake_times: list[int] = []  # heap of requested wake-up times
         self.loop: asyncio.AbstractEventLoop | None = None
         self.timer: asyncio.TimerHandle | None = None  # for the earliest wake-up
-        self.armed = 0
-        self.numbers = 0
-        self.tell(i.Started(seed, footprint, fleet, tiers))
+        self.timer_at = 0
+        self.last_number = 0
+        self.tell(i.Started(seed, deployment, peers, hierarchy))
 
-    def open(self, inbox: Inbox[i.Action]) -> int:
+    def register(self, inbox: Inbox[i.Action]) -> int:
         """Registers the inbox of a new GET and returns the GET's number."""
-        self.numbers += 1
-        self.inboxes[self.numbers] = inbox
-        return self.numbers
+        self.last_number += 1
+        self.inboxes[self.last_number] = inbox
+        return self.last_number
 
-    def close(self, get: int) -> None:
+    def unregister(self, get: int) -> None:
         self.inboxes.pop(get, None)
 
     def tell(self, event: i.Event) -> None:
@@ -126,8 +128,8 @@
                     if (inbox := self.inboxes.get(action.get)) is not None:
                         inbox.put(action)
                 case i.Wake():
-                    heappush(self.wakes, now + action.after)
-                    self.arm()
+                    heappush(self.wake_times, now + action.after)
+                    self.set_timer()
                 case i.Trace():
                     log.info("decided", extra={"what": action.text})
                 case i.AskForList():
@@ -139,7 +141,7 @@
             case bulletin.ListChanged():
                 entries = tuple(
                     i.Entry(line.cache, line.location, line.state, line.units, line.cell, line.model,
-                            self.clock.since(line.started_ms))
+                            self.clock.from_unix_ms(line.started_ms))
                     for line in event.entries
                 )  # fmt: skip
                 self.tell(i.ListTold("full" if event.whole else "changes", entries))
@@ -149,26 +151,30 @@
     def keep_time(self) -> None:
         """Starts delivering the router's wake-ups in the running event loop."""
         self.loop = asyncio.get_running_loop()
-        self.arm()
+        self.set_timer()
 
-    def arm(self) -> None:
+    def set_timer(self) -> None:
         """Sets the timer to the earliest wake-up, unless it is set to that time or before."""
-        if self.loop is None or not self.wakes or (self.timer is not None and self.armed <= self.wakes[0]):
+        if (
+            self.loop is None
+            or not self.wake_times
+            or (self.timer is not None and self.timer_at <= self.wake_times[0])
+        ):
             return
         if self.timer is not None:
             self.timer.cancel()
-        self.armed = self.wakes[0]
-        self.timer = self.loop.call_later((self.armed - self.clock.now()) / (1000 * TENTHS), self.wake)
+        self.timer_at = self.wake_times[0]
+        self.timer = self.loop.call_later((self.timer_at - self.clock.now()) / (1000 * TENTHS), self.on_timer)
 
-    def wake(self) -> None:
+    def on_timer(self) -> None:
         self.timer = None
         due = False
-        while self.wakes and self.wakes[0] <= self.clock.now():
-            heappop(self.wakes)
+        while self.wake_times and self.wake_times[0] <= self.clock.now():
+            heappop(self.wake_times)
             due = True
         try:
             if due:
                 self.tell(i.Woken())
         except Exception:
             log.exception("wake")
-        self.arm()
+        self.set_timer()
--- a/damsonstream/routing/interface.py
+++ b/damsonstream/routing/interface.py
@@ -72,10 +72,10 @@
     units: float  # capacity in concurrent transfers
     cell: int  # group of caches within the location that share tokens
     model: str
-    since: int  # clock time of its last start, 0: unknown, it is warm
+    started_at: int  # clock time of its last start, 0: unknown, the node is warm
 
 
-class Fleet(Protocol):
+class PeerGroup(Protocol):
     """Decisions that the gateways make together (implemented by damsonstream/peers/council.py).
 
     A node is identified by the low 32 bits of its hash. `home` is true for caches of this location, which
@@ -85,40 +85,40 @@
     def asked(self, now: int) -> None:
         """Called for each GET received."""
 
-    def listed(self, home: tuple[int, ...], far: tuple[int, ...]) -> None:
+    def listed(self, local: tuple[int, ...], remote: tuple[int, ...]) -> None:
         """Called with the active nodes of the list: caches of this location, and parents with the origin."""
 
-    def anew(self, source: int) -> None:
+    def anew(self, node: int) -> None:
         """Called when the node has restarted as a new process."""
 
-    def saw(self, now: int, source: int, home: bool, bad: bool) -> None:
+    def saw(self, now: int, node: int, local: bool, failed: bool) -> None:
         """Called with each outcome that is recorded in the node's breaker."""
 
-    def turn(self, now: int, source: int, home: bool, since: int) -> bool:
+    def turn(self, now: int, node: int, local: bool, allowed_at: int) -> bool:
         """Returns whether this gateway may send a trial to a Half-Open node.
 
         `since` is the time from which its breaker allows the trial.
         """
 
-    def trying(self, now: int, source: int, home: bool) -> None:
+    def trying(self, now: int, node: int, local: bool) -> None:
         """Called when a trial is sent."""
         ...
 
-    def tried(self, now: int, source: int, home: bool, good: bool) -> None:
+    def tried(self, now: int, node: int, local: bool, succeeded: bool) -> None:
         """Called when a trial has ended."""
         ...
 
-    def part(self, now: int, home: bool) -> float:
+    def part(self, now: int, local: bool) -> float:
         """Returns this gateway's share of a limit that is common to its location or to all gateways."""
 
 
-class Tiers(Protocol):
+class Hierarchy(Protocol):
     """The operator's cache hierarchy (implemented by damsonstream/tiers/service.py)."""
 
     def has(self, cache: str) -> bool:
         """Returns whether the hierarchy contains the cache; one that it does not contain is not used."""
 
-    def among(self, now: int, cache: str, place: float, sources: list[str]) -> list[str]:
+    def among(self, now: int, cache: str, hash_point: float, sources: list[str]) -> list[str]:
         """Returns the sources that may fill an object in this cache now, in order of preference.
 
         `sources` are the usable ones in hash order, `place` is the object's hash as a fraction in (0, 1).
@@ -128,10 +128,10 @@
     def sent(self, now: int, cache: str, source: str) -> str:
         """Called when a forward with a source is sent; returns the budget it was charged to."""
 
-    def unspent(self, cache: str, source: str, paid: str) -> None:
+    def unspent(self, cache: str, source: str, budget: str) -> None:
         """Refunds a charge: the cache had a copy, so the source was not used."""
 
-    def saw(self, now: int, source: str, bad: bool) -> None:
+    def saw(self, now: int, source: str, failed: bool) -> None:
         """Called with each outcome of a fill that is recorded in the source's breaker."""
 
     def turned(self, source: str, state: str) -> None:
@@ -144,8 +144,8 @@
 
     seed: int
     footprint: Footprint
-    fleet: Fleet | None = None  # None: the gateway decides alone
-    tiers: Tiers | None = None  # None: any parent in hash order, then the origin
+    peers: PeerGroup | None = None  # None: the gateway decides alone
+    tiers: Hierarchy | None = None  # None: any parent in hash order, then the origin
 
 
 @dataclass(slots=True, frozen=True)
@@ -165,17 +165,17 @@
     get: int
     left: int  # time until the viewer timeout
     service: int  # index in Deployment.services
-    thing: str
+    object_id: str
     group: int  # purge group of the object
     size_kb: float  # 0: unknown
-    repeated: bool  # the client marked it as its own retry
+    is_retry: bool  # the client marked it as its own retry
 
 
 @dataclass(slots=True, frozen=True)
 class Purged:
     """A purge of an object or of a whole group was received."""
 
-    thing: str  # empty: the whole group
+    object_id: str  # empty: the whole group
     group: int
     age: int  # time since the purge was issued
 
@@ -192,7 +192,7 @@
     """The answer of a forward is already being sent to the client."""
 
     get: int
-    leg: int
+    attempt: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -241,11 +241,11 @@
     get: int
     cache: str
     source: str  # the cache itself: no fill is allowed
-    rank: int  # the cache's retention priority for the object
-    patience: int  # 0: until the viewer timeout
+    retention_rank: int  # the cache's retention priority for the object
+    timeout: int  # 0: until the viewer timeout
     age: int  # maximum age of an acceptable copy, 0: the service's default
     join: bool  # collapse the fill with a concurrent one
-    renew: bool  # request the option "refresh" of the caches' protocol
+    refresh: bool  # request the option "refresh" of the caches' protocol
     copies: bool  # the source serves only what it has cached
 
 
--- a/damsonstream/routing/life.py
+++ b/damsonstream/routing/life.py
@@ -23,11 +23,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
+class ClientGone:
     """The client has disconnected or no longer waits."""
 
 
-class Leg(Protocol):
+class ForwardHandle(Protocol):
     """The transport's handle of a pending forward."""
 
     def stop(self) -> None: ...
@@ -35,27 +35,27 @@
 
 Ending = resp.Answer | resp.Lost
 Sender = Callable[
-    [str, bytes, bytes, Callable[[Ending], None]], Leg
+    [str, bytes, bytes, Callable[[Ending], None]], ForwardHandle
 ]  # cache, id, command, callback for the end
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
-    leg: int
-    ending: Ending
+class ForwardDone:
+    attempt: int
+    end: Ending
 
 
-Step = i.Action | Left | Ended
+Step = i.Action | ClientGone | ForwardDone
 
 
 @dataclass(slots=True)
-class Out:
+class PendingForward:
     """A pending forward."""
 
     cache: str
-    sent: int
-    patience: int  # clock time of its own timeout, 0: none but the GET's
-    handle: Leg
+    sent_at: int
+    expires_at: int  # clock time of its own timeout, 0: none but the GET's
+    handle: ForwardHandle
 
 
 @dataclass(slots=True)
@@ -64,16 +64,16 @@
 
     ident: bytes
     service: int
-    thing: str
+    object_id: str
     group: int
-    left_ms: int
-    repeated: bool
-    same: bytes  # the fields passed on unchanged, in the encoding of the caches' protocol
+    time_left_ms: int
+    is_retry: bool
+    fixed_fields: bytes  # the fields passed on unchanged, in the encoding of the caches' protocol
     body: bytes
     inbox: Inbox[Step] = field(default_factory=Inbox)
 
     def left(self) -> None:
-        self.inbox.put(Left())
+        self.inbox.put(ClientGone())
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,144 +95,163 @@
     Tasks are reused: starting an anyio task for each GET took a sixth of the CPU core at 2,000 GETs/s.
     """
 
-    IDLE = 512  # enough for the tasks of a busy second
+    MAX_IDLE_TASKS = 512  # enough for the tasks of a busy second
 
     def __init__(self, gateway: Gateway, send: Sender) -> None:
         self.gateway, self.send = gateway, send
         self.group: TaskGroup | None = None
-        self.idle: list[asyncio.Future[Job]] = []
+        self.idle_tasks: list[asyncio.Future[Job]] = []
         self.idents: set[bytes] = set()  # client's ids of the open GETs
 
     def begin(self, get: Get, answer: Callable[[Final], None]) -> None:
         assert self.group is not None
         self.idents.add(get.ident)
-        if self.idle:
-            self.idle.pop().set_result((get, answer))
+        if self.idle_tasks:
+            self.idle_tasks.pop().set_result((get, answer))
         else:
-            self.group.start_soon(self.work, (get, answer))
+            self.group.start_soon(self.worker, (get, answer))
 
-    async def work(self, job: Job) -> None:
+    async def worker(self, job: Job) -> None:
         while True:
-            await live(self.gateway, self.send, *job)
+            await run_get(self.gateway, self.send, *job)
             self.idents.discard(job[0].ident)
-            if len(self.idle) >= self.IDLE:
+            if len(self.idle_tasks) >= self.MAX_IDLE_TASKS:
                 return
             waiter = asyncio.get_running_loop().create_future()
-            self.idle.append(waiter)
+            self.idle_tasks.append(waiter)
             job = await waiter
 
 
-async def live(gateway: Gateway, send: Sender, get: Get, answer: Callable[[Final], None]) -> None:
+async def run_get(gateway: Gateway, send: Sender, get: Get, answer: Callable[[Final], None]) -> None:
     """Carries out the router's actions for one GET until it is answered and all its forwards have ended."""
-    clock, inbox, outs, legs, over = gateway.clock, get.inbox, dict[int, Out](), 0, False
-    patient = False  # whether any forward has a timeout of its own
-    end = clock.now() + get.left_ms * TENTHS
-    number, seen = gateway.open(inbox), gateway.observer  # type: ignore[arg-type]
-
-    def ended(leg: int, ending: Ending, final: bool) -> None:
-        out = outs.pop(leg)
+    clock, inbox, pending, attempts, finished = (
+        gateway.clock,
+        get.inbox,
+        dict[int, PendingForward](),
+        0,
+        False,
+    )
+    has_timeouts = False  # whether any forward has a timeout of its own
+    deadline = clock.now() + get.time_left_ms * TENTHS
+    number, observer = gateway.register(inbox), gateway.observer  # type: ignore[arg-type]
+
+    def forward_done(attempt: int, end: Ending, get_done: bool) -> None:
+        forward = pending.pop(attempt)
         now, stamp = clock.now(), 0
-        took = now - out.sent
-        if isinstance(ending, resp.Lost):
-            event = i.ForwardEnded(number, leg, out.cache, ending.result, took, 0, 0, final, ending.shared)
+        took = now - forward.sent_at
+        if isinstance(end, resp.Lost):
+            event = i.ForwardEnded(
+                number, attempt, forward.cache, end.result, took, 0, 0, get_done, end.shared
+            )
         else:
-            event = i.ForwardEnded(number, leg, out.cache, ending.result, took, ending.waited_ms * TENTHS,
-                                   ending.note, final, False, ending.load)  # fmt: skip
-            stamp = ending.stamp
-        if seen is not None:
-            seen.came(now, event, stamp)
+            event = i.ForwardEnded(number, attempt, forward.cache, end.result, took, end.waited_ms * TENTHS,
+                                   end.note, get_done, False, end.load)  # fmt: skip
+            stamp = end.stamp
+        if observer is not None:
+            observer.came(now, event, stamp)
         gateway.tell(event)
 
-    def finish(final: Final, leg: int = -1) -> None:
-        nonlocal over
-        if not over:
-            over = True
+    def send_answer(final: Final, attempt: int = -1) -> None:
+        nonlocal finished
+        if not finished:
+            finished = True
             answer(final)
-            if seen is not None:
+            if observer is not None:
                 size = len(final.body)
-                seen.final(clock.now(), number, final.outcome, final.come_back_ms, size, leg)
+                observer.final(clock.now(), number, final.outcome, final.come_back_ms, size, attempt)
 
     try:
-        if seen is not None:
-            seen.opened(clock.now(), number, get.ident, get.service, get.thing, get.group,
-                        get.left_ms * TENTHS, get.repeated)  # fmt: skip
+        if observer is not None:
+            observer.opened(clock.now(), number, get.ident, get.service, get.object_id, get.group,
+                        get.time_left_ms * TENTHS, get.is_retry)  # fmt: skip
         gateway.tell(
-            i.GetTaken(number, get.left_ms * TENTHS, get.service, get.thing, get.group, 0.0, get.repeated)
+            i.GetTaken(
+                number, get.time_left_ms * TENTHS, get.service, get.object_id, get.group, 0.0, get.is_retry
+            )
         )
-        while not over or outs or inbox.steps:
-            if patient:
-                expiry = min((out.patience for out in outs.values() if out.patience), default=end)
+        while not finished or pending or inbox.steps:
+            if has_timeouts:
+                expiry = min(
+                    (forward.expires_at for forward in pending.values() if forward.expires_at),
+                    default=deadline,
+                )
                 with anyio.move_on_after((expiry - clock.now()) / (1000 * TENTHS)) as waiting:
                     step = await inbox.next()
                 if waiting.cancelled_caught:
-                    for leg in [leg for leg, out in outs.items() if 0 < out.patience <= clock.now()]:
-                        outs[leg].handle.stop()
-                        ended(leg, resp.Lost("expired"), over)
+                    for attempt in [
+                        attempt
+                        for attempt, forward in pending.items()
+                        if 0 < forward.expires_at <= clock.now()
+                    ]:
+                        pending[attempt].handle.stop()
+                        forward_done(attempt, resp.Lost("expired"), finished)
                     continue
             else:
                 step = await inbox.next()
             match step:
                 case i.Forward():
-                    leg, now = legs, clock.now()
-                    legs += 1
-                    if over:  # decided before this task gave the answer: send nothing after the answer
-                        outs[leg] = Out(step.cache, now, 0, NOT_OUT)
-                        ended(leg, resp.Lost("unsent"), True)
+                    attempt, now = attempts, clock.now()
+                    attempts += 1
+                    if finished:  # decided before this task gave the answer: send nothing after the answer
+                        pending[attempt] = PendingForward(step.cache, now, 0, UNSENT)
+                        forward_done(attempt, resp.Lost("unsent"), True)
                         continue
-                    patient |= step.patience > 0
-                    wait = min(end, now + step.patience) if step.patience else end
+                    has_timeouts |= step.timeout > 0
+                    wait = min(deadline, now + step.timeout) if step.timeout else deadline
                     command = resp.forward(
-                        get.ident, get.same, get.body,
+                        get.ident, get.fixed_fields, get.body,
                         wait_ms=max(1, (wait - now) // TENTHS),
                         source=step.source if step.source != step.cache else "",
-                        rank=step.rank, age_ms=max(1, step.age // TENTHS) if step.age else 0,
-                        join=step.join, renew=step.renew, copies=step.copies,
+                        rank=step.retention_rank, age_ms=max(1, step.age // TENTHS) if step.age else 0,
+                        join=step.join, renew=step.refresh, copies=step.copies,
                     )  # fmt: skip
 
-                    def at_end(ending: Ending, leg: int = leg) -> None:
-                        inbox.put(Ended(leg, ending))
-
-                    out = Out(step.cache, now, now + step.patience if step.patience else 0, NOT_OUT)
-                    outs[leg] = out
-                    if seen is not None:
-                        seen.sent(now, number, leg, step)
-                    out.handle = send(step.cache, get.ident, command, at_end)
-                case Ended():
-                    if step.leg not in outs:
+                    def on_end(ending: Ending, attempt: int = attempt) -> None:
+                        inbox.put(ForwardDone(attempt, ending))
+
+                    forward = PendingForward(
+                        step.cache, now, now + step.timeout if step.timeout else 0, UNSENT
+                    )
+                    pending[attempt] = forward
+                    if observer is not None:
+                        observer.sent(now, number, attempt, step)
+                    forward.handle = send(step.cache, get.ident, command, on_end)
+                case ForwardDone():
+                    if step.attempt not in pending:
                         continue  # already ended by a recall or timeout
-                    good = isinstance(step.ending, resp.Answer) and step.ending.result == "returned"
-                    if good and not over:
-                        assert isinstance(step.ending, resp.Answer)
-                        finish(Final("returned", step.ending.body, step.ending.same), step.leg)
-                    ended(step.leg, step.ending, over)
+                    good = isinstance(step.end, resp.Answer) and step.end.result == "returned"
+                    if good and not finished:
+                        assert isinstance(step.end, resp.Answer)
+                        send_answer(Final("returned", step.end.body, step.end.same), step.attempt)
+                    forward_done(step.attempt, step.end, finished)
                 case i.Recall():
-                    if step.leg in outs:
-                        outs[step.leg].handle.stop()
-                        ended(step.leg, resp.Lost("recalled"), over)
+                    if step.leg in pending:
+                        pending[step.leg].handle.stop()
+                        forward_done(step.leg, resp.Lost("recalled"), finished)
                 case i.Shed():
-                    finish(Final("shed", come_back_ms=step.come_back // TENTHS))
+                    send_answer(Final("shed", come_back_ms=step.come_back // TENTHS))
                 case i.Errored():
-                    finish(Final("errored"))
-                case Left():
-                    if not over:
-                        over = True
-                        if seen is not None:
-                            seen.left(clock.now(), number)
+                    send_answer(Final("errored"))
+                case ClientGone():
+                    if not finished:
+                        finished = True
+                        if observer is not None:
+                            observer.left(clock.now(), number)
                         gateway.tell(i.ClientLeft(number))
     except Exception:
         log.exception("life", extra={"get": get.ident})
-        finish(Final("errored"))
+        send_answer(Final("errored"))
     finally:
-        gateway.close(number)
-        for out in outs.values():
-            out.handle.stop()
+        gateway.unregister(number)
+        for forward in pending.values():
+            forward.handle.stop()
 
 
-class NotOut:
+class UnsentHandle:
     """Handle of a forward that has not been sent."""
 
     def stop(self) -> None:
         pass
 
 
-NOT_OUT = NotOut()
+UNSENT = UnsentHandle()
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -7,18 +7,18 @@
 from dataclasses import replace
 
 from damsonstream.bench import codec
-from damsonstream.bench.__main__ import host
+from damsonstream.bench.__main__ import serve
 from damsonstream.routing import interface as i
-from damsonstream.routing.router import LEAST, Breaker, Chance
+from damsonstream.routing.router import MIN_SAMPLES, Breaker, Rng
 from tests.helpers import FOOTPRINT, ORDER, PAGES, TILES, Desk, S, TraceCase, entry
 
 
 class BreakerTrace(TraceCase):
     def test_opens_on_a_share_and_closes_on_a_majority(self) -> None:
-        breaker, lines = Breaker(Chance(3)), list[str]()
+        breaker, lines = Breaker(Rng(3)), list[str]()
 
         def step(now: int, weight: float, trial: bool = False) -> None:
-            change = breaker.note(now, weight, trial)
+            change = breaker.record(now, weight, trial)
             lines.append(
                 f"{now / S:.1f}s weight {weight} {'trial ' * trial}{breaker.state}{' *' * bool(change)}"
             )
@@ -31,7 +31,7 @@
             step(16000 + place * 1000, 1.0)
         for trial in range(2):
             lines.append(
-                f"cool-down {breaker.cool_down / S:.0f}s, before its end {breaker.allows(breaker.until - 1)}"
+                f"cool-down {breaker.cooldown / S:.0f}s, before its end {breaker.allows(breaker.until - 1)}"
             )
             now = breaker.until
             lines.append(f"allowed at its end {breaker.allows(now)}")
@@ -40,14 +40,14 @@
                 f"second trial at once {breaker.allows(now + 1)}, 500 ms on {breaker.allows(now + 5000)}"
             )
             step(now + 5000, 1.0 - trial, True)
-        lines.append(f"cool-down {breaker.cool_down / S:.0f}s")
+        lines.append(f"cool-down {breaker.cooldown / S:.0f}s")
         self.check("breaker", lines)
 
     def test_a_few_failures_do_not_open(self) -> None:
-        breaker = Breaker(Chance(3))
+        breaker = Breaker(Rng(3))
         self.assertEqual(
-            [breaker.note(place, 1.0, False) for place in range(LEAST - 1)],
-            [""] * (LEAST - 1),
+            [breaker.record(place, 1.0, False) for place in range(MIN_SAMPLES - 1)],
+            [""] * (MIN_SAMPLES - 1),
         )
         self.assertEqual(breaker.state, "Closed")
 
@@ -266,7 +266,7 @@
     def test_what_an_origin_behind_refused_is_not_brought_to_it_again(self) -> None:
         """It is the same origin by every parent; 200 gateways that go again at once push it further."""
         desk = Desk("c1 c2 c3 p1 p2 p3 o", notes="all", joins=False, gateways=200)
-        desk.router.spare = 20.0  # further forwards are not what is short
+        desk.router.retry_budget = 20.0  # further forwards are not what is short
         for get in range(10):
             desk.take(get, service=2)
             while get in desk.router.gets:
@@ -282,7 +282,7 @@
             desk.take(get)
             if get >= 64:  # the parent has 64 out: looked for, lacked, held
                 desk.end(get, "lacking")
-        held = [desk.router.gets[get].wants for get in range(64, 68)]
+        held = [desk.router.gets[get].waits_for for get in range(64, 68)]
         desk.lines.clear()
         desk.say(f"wait for {sorted({node.name for node in held if node})}")
         desk.end(0, "returned", note=2)
@@ -310,7 +310,7 @@
         desks = [Desk("c1 p1 p2 o", gateways=60, location_gateways=12) for _ in range(60)]
         spans = list[float]()
         for place, desk in enumerate(desks):
-            desk.router.chance.state = place * 0x9E3779B97F4A7C15
+            desk.router.rng.state = place * 0x9E3779B97F4A7C15
             desk.tell(i.ListTold("changes", (entry("p1", since=desk.now),)))
         for second in range(20):
             asked = 0.0
@@ -369,7 +369,9 @@
         for get in range(5):
             desk.now += 2
             desk.end(get, "returned", 1, busy=1.0)
-            lines.append(f"{cache.out} out, told {cache.held:.0f}, full {desk.router.full(cache):.2f}")
+            lines.append(
+                f"{cache.out} out, told {cache.reported_load:.0f}, full {desk.router.load(cache):.2f}"
+            )
         self.check("told-together", lines)
 
     def test_a_crowd_on_the_link_that_is_learnt_fades(self) -> None:
@@ -381,7 +383,7 @@
         for seconds in (0, 5, 10, 30):
             desk.now += seconds * S
             desk.tell(i.Woken())
-            lines.append(f"{seconds} s later {desk.router.crowd():.2f}")
+            lines.append(f"{seconds} s later {desk.router.link_load():.2f}")
         self.check("link-fades", lines)
 
     def test_caches_that_come_and_go(self) -> None:
@@ -434,7 +436,9 @@
         desk.take(8, service=2)
         desk.end(8, "broken")  # may have run: the next one, known not to have run, does not undo that
         desk.end(8, "shed")
-        self.assertEqual(desk.router.gets[8].ran, (desk.now, desk.router.nodes[desk.sent[8, 0].cache]))
+        self.assertEqual(
+            desk.router.gets[8].may_have_run, (desk.now, desk.router.nodes[desk.sent[8, 0].cache])
+        )
         desk.take(9, service=2)
         desk.wait(3 * S - 20)  # the end of what is remembered: no further forward
         desk.end(9, "broken")
@@ -540,7 +544,7 @@
 class Wire(TraceCase):
     def host(self, text: str) -> list[str]:
         out = io.StringIO()
-        host(text.splitlines(), out)
+        serve(text.splitlines(), out)
         return out.getvalue().splitlines()
 
     def test_transcript(self) -> None:
@@ -559,7 +563,7 @@
 
     def test_footprint_without_parents(self) -> None:
         self.assertEqual(FOOTPRINT.parent_model, "parent")
-        parts = codec.split(WIRE.splitlines()[1])[1]
-        started = codec.event("ENLIST", parts, (), {})
+        parts = codec.split_line(WIRE.splitlines()[1])[1]
+        started = codec.decode_event("ENLIST", parts, (), {})
         assert isinstance(started, i.Started)
         self.assertEqual((started.footprint.parent_model, started.footprint.origin_model), ("", "origin"))
