--- a/damsonstream/routing/life.py
+++ b/damsonstream/routing/life.py
@@ -144,8 +144,8 @@
                 number, attempt, forward.cache, end.result, took, 0, 0, get_done, end.shared
             )
         else:
-            event = i.ForwardEnded(number, attempt, forward.cache, end.result, took, end.waited_ms * TENTHS,
-                                   end.note, get_done, False, end.load)  # fmt: skip
+            event = i.ForwardEnded(number, attempt, forward.cache, end.result, took,
+                                   end.waited_ms * TENTHS, end.note, get_done, False, end.load)  # fmt: skip
             stamp = end.stamp
         if observer is not None:
             observer.came(now, event, stamp)
@@ -202,7 +202,8 @@
                         get.ident, get.fixed_fields, get.body,
                         wait_ms=max(1, (wait - now) // TENTHS),
                         source=step.source if step.source != step.cache else "",
-                        rank=step.retention_rank, age_ms=max(1, step.age // TENTHS) if step.age else 0,
+                        rank=step.retention_rank,
+                        age_ms=max(1, step.age // TENTHS) if step.age else 0,
                         join=step.join, renew=step.refresh, copies=step.copies,
                     )  # fmt: skip
 
--- a/damsonstream/routing/router.py
+++ b/damsonstream/routing/router.py
@@ -170,8 +170,10 @@
     def __init__(self, entry: i.Entry, role: str, rng: Rng) -> None:
         self.entry, self.role, self.name = entry, role, entry.cache
         self.hash, self.breaker = digest(entry.cache), Breaker(rng, role == "origin")
-        self.known, self.is_local = self.hash & 0xFFFFFFFF, role == "cache"  # how the peer protocol names it
-        self.active, self.removed, self.out = False, False, 0  # forwards to it, or with it as the source
+        # the id of the node in the protocol between gateways
+        self.known, self.is_local = self.hash & 0xFFFFFFFF, role == "cache"
+        # forwards in flight count those to the node and those with it as the source
+        self.active, self.removed, self.out = False, False, 0
         # token bucket of transfer time while the node is cold; time of the last refill
         self.cold_credit, self.cold_credit_at = 0.0, -1
         # GETs of all gateways, as last reported by the cache
