--- a/damsonstream/bench/__main__.py
+++ b/damsonstream/bench/__main__.py
@@ -22,7 +22,7 @@
 
 
 def serve(lines: Iterable[str], out: TextIO) -> None:
-    """Handles the events of all batches; raises WireError for a line that breaks the protocol."""
+    """Handles the events of all batches; raises ProtocolError for a line that breaks the protocol."""
     gateways: dict[str, Gateway] = {}
     remaining = iter(lines)
     now, frame = 0, ""
@@ -35,23 +35,23 @@
         name, parts = codec.split_line(line)
         if name == "BEGIN_BATCH":
             if in_batch:
-                raise codec.WireError("BEGIN_BATCH inside a batch")
+                raise codec.ProtocolError("BEGIN_BATCH inside a batch")
             now, frame, in_batch, reply = int(parts["ts"]) // US, parts["frame"], True, []
             continue
         if not in_batch:
-            raise codec.WireError(f"line outside a batch: {line[:60]!r}")
+            raise codec.ProtocolError(f"line outside a batch: {line[:60]!r}")
         if name == "GO":
             out.write("".join(f"{text}\n" for text in reply) + f"NEXT frame={frame}\n")
             out.flush()
             in_batch = False
             continue
         if name not in codec.EVENTS:
-            raise codec.WireError(f"unknown event {name!r}")
+            raise codec.ProtocolError(f"unknown event {name!r}")
         gateway_name = parts["gateway"]
         if name == "ENLIST":
             gateways[gateway_name] = Gateway()
         if gateway_name not in gateways:
-            raise codec.WireError(f"{name} for an unknown instance {gateway_name!r}")
+            raise codec.ProtocolError(f"{name} for an unknown instance {gateway_name!r}")
         if name == "RETIRE":
             del gateways[gateway_name]
             continue
@@ -59,7 +59,7 @@
         for _ in range(int(parts.get("items", 0)) if name == "DIRECTORY_UPDATE" else 0):
             tag, fields = codec.split_line(next(remaining, "").rstrip("\r\n"))
             if tag != "M":
-                raise codec.WireError(f"list entry expected, got {tag!r}")
+                raise codec.ProtocolError(f"list entry expected, got {tag!r}")
             entries.append(codec.decode_entry(fields))
         gateway = gateways[gateway_name]
         event = codec.decode_event(name, parts, tuple(entries), gateway.services)
@@ -78,8 +78,8 @@
 def main() -> int:
     try:
         serve(sys.stdin, sys.stdout)
-    except (codec.WireError, KeyError, ValueError) as error:
-        print(f"malformed wire: {type(error).__name__}: {error}", file=sys.stderr)
+    except (codec.ProtocolError, KeyError, ValueError) as error:
+        print(f"malformed input: {type(error).__name__}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/damsonstream/bench/codec.py
+++ b/damsonstream/bench/codec.py
@@ -10,6 +10,7 @@
 from damsonstream.program.config import US, footprint, tenths
 from damsonstream.routing import interface as i
 
+# names of the values in a cache's load report
 LOAD_KEYS = {"concurrent": "held", "load_share": "busy", "x0": "hits", "x1": "link"}
 LIST_KINDS = {"D": "changes", "F": "full", "C": "cached", "X": "lost"}
 RESULTS = {
@@ -27,7 +28,7 @@
 EVENTS |= {"RETIRE", "ESTABLISHED", "CLOSED_ATTEMPT"}
 
 
-class WireError(Exception):
+class ProtocolError(Exception):
     """A line that breaks the bench's protocol."""
 
 
@@ -38,7 +39,7 @@
     while rest:
         key, sep, rest = rest.partition("=")
         if not sep or not key or " " in key:
-            raise WireError(f"part without a value in {name!r}: {key[:60]!r}")
+            raise ProtocolError(f"part without a value in {name!r}: {key[:60]!r}")
         if key in ("params", "bodyText"):
             parts[key] = rest
             break
--- a/damsonstream/routing/gateway.py
+++ b/damsonstream/routing/gateway.py
@@ -176,5 +176,5 @@
             if due:
                 self.tell(i.Woken())
         except Exception:
-            log.exception("wake")
+            log.exception("wake")  # the name of the event in the log
         self.set_timer()
--- a/damsonstream/routing/interface.py
+++ b/damsonstream/routing/interface.py
@@ -24,7 +24,7 @@
     remembered: int  # how long the token of a tokened GET is recognized
     streamed: bool
     fresh: int  # maximum age of a copy, 0: until purged
-    grace: int  # by how much a copy may be older if nothing fresher is available
+    grace: int  # how much older than that a copy may be in a forward that allows no fill
     passes: bool  # never cached, every GET goes to the origin
 
 
@@ -55,7 +55,7 @@
     cold_share: float  # share of its capacity that a cache has right after its start
     cold_for: int  # time from a cache's start to its full capacity
     cold_multiple: float  # load that makes a cold cache fail, as a multiple of its current capacity
-    cold_span: int  # time for which a cold cache bears such a load
+    cold_span: int  # time for which a cold cache sustains such a load
     parent_cold_share: float
     parent_cold_for: int
     parent_cold_multiple: float
@@ -78,7 +78,7 @@
 class PeerGroup(Protocol):
     """Decisions that the gateways make together (implemented by damsonstream/peers/council.py).
 
-    A node is identified by the low 32 bits of its hash. `home` is true for caches of this location, which
+    A node is identified by the low 32 bits of its hash. `local` is true for caches of this location, which
     concern only the gateways of the location; parents and the origin concern all gateways.
     """
 
@@ -97,7 +97,7 @@
     def turn(self, now: int, node: int, local: bool, allowed_at: int) -> bool:
         """Returns whether this gateway may send a trial to a Half-Open node.
 
-        `since` is the time from which its breaker allows the trial.
+        `allowed_at` is the time from which its breaker allows the trial.
         """
 
     def trying(self, now: int, node: int, local: bool) -> None:
@@ -121,7 +121,8 @@
     def among(self, now: int, cache: str, hash_point: float, sources: list[str]) -> list[str]:
         """Returns the sources that may fill an object in this cache now, in order of preference.
 
-        `sources` are the usable ones in hash order, `place` is the object's hash as a fraction in (0, 1).
+        `sources` are the usable ones in hash order, `hash_point` is the object's hash as a fraction
+        in (0, 1).
         Only sources of the cache's own zone are returned while that zone may be used.
         """
 
--- a/damsonstream/routing/life.py
+++ b/damsonstream/routing/life.py
@@ -145,7 +145,8 @@
             )
         else:
             event = i.ForwardEnded(number, attempt, forward.cache, end.result, took,
-                                   end.waited_ms * TENTHS, end.note, get_done, False, end.load)  # fmt: skip
+                                   end.waited_ms * TENTHS, end.note, get_done, False,
+                                   end.load)  # fmt: skip
             stamp = end.stamp
         if observer is not None:
             observer.came(now, event, stamp)
@@ -240,6 +241,7 @@
                             observer.left(clock.now(), number)
                         gateway.tell(i.ClientLeft(number))
     except Exception:
+        # "life" is the name of the event in the log
         log.exception("life", extra={"get": get.ident})
         send_answer(Final("errored"))
     finally:
--- a/damsonstream/routing/router.py
+++ b/damsonstream/routing/router.py
@@ -233,7 +233,7 @@
     blamed: bool = False  # a node was blamed when the forward became overdue
 
 
-# half-life of a learnt overload; the highest estimate (16) decays to 1.5 in ten seconds
+# half-life of an estimated overload; the highest estimate (16) decays to 1.5 in ten seconds
 OVERLOAD_HALF_LIFE = 2 * S
 # An origin can be overloaded within seconds, while each of many gateways sees only a few of its fills, so two
 # bad fills must be enough to throttle it. One bad fill in five keeps the estimate where it is.
@@ -247,6 +247,7 @@
     """Decides where each GET is forwarded, retried, queued, shed or failed."""
 
     def handle(self, now: int, event: i.Event) -> list[i.Action]:
+        """Handles one event and returns the actions to carry out, in order."""
         self.now, self.actions = now, list[i.Action]()
         match event:
             case i.Started():
@@ -274,6 +275,7 @@
         return self.actions
 
     def start(self, event: i.Started) -> None:
+        """Initializes the router from its configuration."""
         self.config, self.rng, self.peers = event.footprint, Rng(event.seed), event.peers
         self.hierarchy = event.tiers
         self.services = [ServiceState(service) for service in self.config.services]
@@ -327,7 +329,7 @@
                 if self.hierarchy:
                     self.hierarchy.turned(node.name, "Closed")
             node.entry, node.active, node.removed = entry, entry.state == "active", entry.state == "left"
-            # 64 is too low for a parent with capacity for 1000
+            # a fixed limit of 64 is too low for a parent with capacity for 1000 transfers
             if node.role == "parent" and self.units_known:
                 node.limit = max(64.0, 2.2 * entry.units / self.config.gateways)
         self.nodes = {n.name: n for n in self.nodes.values() if n.out or not n.removed}
@@ -671,13 +673,13 @@
         )
         return node.cold_credit >= get.service.mean_transfer
 
-    def max_copy_age(self, get: Get, only_if_cached: bool) -> int:
+    def max_copy_age(self, get: Get, no_fill: bool) -> int:
         """Returns the maximum age of an acceptable copy; 0: the service's default.
 
         Until a purge has settled at all caches, copies older than the purge are refused.
         """
         config = get.service.config
-        max_age = config.fresh + config.grace if only_if_cached and config.fresh and config.grace else 0
+        max_age = config.fresh + config.grace if no_fill and config.fresh and config.grace else 0
         purged_at = max(self.purges.get(get.object_id, -1), self.purges.get(get.group, -1))
         if purged_at >= 0 and self.now - purged_at < self.config.purge_settles:
             return min(max(1, self.now - purged_at), max_age or config.fresh or MASK_64)
@@ -692,10 +694,13 @@
         broken connection is one failure of the cache, whatever number of forwards and sources it carried.
         """
         cache, source = forward.cache, forward.source
+        # fill codes (see interface.ForwardEnded): 8: the source has no copy, 9: no slot
         if event and (event.note in (8, 9) or event.result in ("lacking", "unsent", "recalled")):
             return None
+        # 10: the origin failed
         if event and (event.note == 10 or event.result == "unreached"):
             return self.origin if event.note == 10 else cache
+        # 6 and 7: the source refused or broke the connection
         if event and source is not cache and event.note in (6, 7):
             return self.blamed_for_timeout(forward) if event.took > S // 2 else source
         if event and source is not cache and event.result == "shed" and event.took > LOCAL_REFUSAL_TIME:
@@ -775,6 +780,7 @@
             cache.load_reported_at = self.now
         if "link" in event.load:
             self.link_estimate, self.link_updated_at = event.load["link"], self.now
+        # fill codes 2 and 3: filled, by the source itself or through the origin
         returned, alive = event.result == "returned", event.result in ("returned", "lacking")
         filled = event.note in (2, 3) or (returned and self.config.notes == "none")
         blamed = None if returned or forward.blamed or event.shared else self.blamed_node(forward, event)
@@ -785,9 +791,8 @@
         if source is not cache:
             self.source_ended(forward, event, blamed, returned and filled)
         for node in forward.trials:
-            node.breaker.trial_in_flight = (
-                False  # also if the trial proved nothing, for example a hit in the cache
-            )
+            # also if the trial proved nothing, for example a hit in the cache
+            node.breaker.trial_in_flight = False
         if returned:
             self.update_estimates(get, cache, event)
         elif event.result == "shed" and event.took <= LOCAL_REFUSAL_TIME and event.note != 9:
@@ -799,9 +804,8 @@
                 forward.sent_at,
                 cache,
             ):
-                get.may_have_run = (
-                    None  # proved not to have executed; an earlier forward that may have is kept
-                )
+                # proved not to have executed; an earlier forward that may have is kept
+                get.may_have_run = None
             if event.result == "lacking" and (
                 forward.only_if_cached or (source is cache and not get.miss_level)
             ):
@@ -821,9 +825,8 @@
                 suspect = source if event.result == "shed" and event.took > LOCAL_REFUSAL_TIME else cache
                 if event.result != "recalled" and not same_cache:
                     get.avoided.add(blamed or suspect)
-                self.retry_budget += (
-                    same_cache  # the broken forward's work was dropped, so its retry adds no load
-                )
+                # the broken forward's work was dropped, so its retry adds no load
+                self.retry_budget += same_cache
                 # every path leads to the same origin: while it is overloaded, retry only an admitted part
                 admitted = event.note != 10 or get.admission_draw * self.origin_overload() < 1
                 if not get.pending and self.retry_budget >= 1 and admitted:
@@ -906,8 +909,10 @@
         service.usual_overhead = max(
             10 * MS, service.usual_overhead * (1.019 if overhead > service.usual_overhead else 0.999)
         )
+        # with unknown sizes, the mean transfer time is estimated from forwards other than fills (code 2)
         if not get.transfer_time and event.note != 2:
             service.mean_transfer += 0.02 * (event.took - service.mean_transfer)
+        # only hits, or results without a fill code, adjust the limit of the cache
         if get.transfer_time and event.note in (0, 1):
             if event.took > service.config.objective + service.config.stretch * get.transfer_time:
                 cache.limit = max(3.0, cache.limit * 0.9)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -563,7 +563,7 @@
             "WAKE gateway",
             "BEGIN_BATCH ts=1 frame=2",
         ):
-            with redirect_stdout(io.StringIO()) as output, self.assertRaises(codec.WireError):
+            with redirect_stdout(io.StringIO()) as output, self.assertRaises(codec.ProtocolError):
                 self.serve("BEGIN_BATCH ts=1 frame=1\n" + bad)
             self.assertEqual(output.getvalue(), "")
 
