--- a/damsonstream/routing/life.py
+++ b/damsonstream/routing/life.py
@@ -164,7 +164,7 @@
     try:
         if observer is not None:
             observer.opened(clock.now(), number, get.ident, get.service, get.object_id, get.group,
-                        get.time_left_ms * TENTHS, get.is_retry)  # fmt: skip
+                            get.time_left_ms * TENTHS, get.is_retry)  # fmt: skip
         gateway.tell(
             i.GetTaken(
                 number, get.time_left_ms * TENTHS, get.service, get.object_id, get.group, 0.0, get.is_retry
--- a/damsonstream/routing/router.py
+++ b/damsonstream/routing/router.py
@@ -46,6 +46,7 @@
 
 
 WINDOW, BUCKETS = 3 * S, 100  # in the design's 10 s, old successes outweigh new failures (docs/design.md)
+# fills in the window before its ratio counts, and failures in a row that open a breaker
 MIN_SAMPLES = 5  # the design's 20 is too many: a gateway sees only a few fills a second at each source
 FAILURE_RATIO = 0.5  # share of failures in the window above which a breaker may open
 COOLDOWN, MAX_COOLDOWN = 5 * S, 5 * S
