--- a/damsonstream/demo/figures.py
+++ b/damsonstream/demo/figures.py
@@ -1,7 +1,7 @@
-"""What gateways of a play are told in their settings, and what its viewers ask for. No I/O.
+"""The settings of the demo's gateways, and its delivery services with their load. No I/O.
 
-How it is called: `settings(gateways, models, locations)` gives the object that stands under `settings` in a
-gateway's configuration; `OFFERS` are the delivery services.
+`gateway_settings(gateways, models, locations)` returns the object under `settings` in a gateway's
+configuration; `PROFILES` are the delivery services.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
     Offer("covers", 0.3, 500, 1.0, 4_000, 1500),
     Offer("unlock", 0.1, 400, 0.7, 400, 3000, tokened=True),
 )
-REMEMBERED = 3.0  # seconds for which the vault knows a token
+REMEMBERED = 3.0  # seconds for which the origin remembers a token
 
 
-def lane(offer: Offer) -> dict[str, Any]:
-    told: dict[str, Any] = {
-        "name": offer.name, "onTime": 400_000, "aimStretch": 1.0, "hardLimit": offer.patience_ms * 1000,
-        "worth": 2.0 if offer.tokened else 1.0, "lateShare": 0.15, "idempotency": "idempotent",
+def service_settings(profile: Offer) -> dict[str, Any]:
+    result: dict[str, Any] = {
+        "name": profile.name, "onTime": 400_000, "aimStretch": 1.0, "hardLimit": profile.patience_ms * 1000,
+        "worth": 2.0 if profile.tokened else 1.0, "lateShare": 0.15, "idempotency": "idempotent",
     }  # fmt: skip
-    if offer.tokened:
-        told |= {"idempotency": "deduplicated", "keyScope": "all", "dedupWindow": int(REMEMBERED * 1e6)}
-    return told
+    if profile.tokened:
+        result |= {"idempotency": "deduplicated", "keyScope": "all", "dedupWindow": int(REMEMBERED * 1e6)}
+    return result
 
 
 def settings(gateways: int, models: Sequence[str], locations: Sequence[str]) -> dict[str, Any]:
@@ -35,7 +35,7 @@
         "kinds": list(models),
         "zones": list(locations),
         "myZone": locations[0],
-        "lanes": [lane(offer) for offer in OFFERS],
+        "lanes": [service_settings(profile) for profile in OFFERS],
         "familyInfo": {
             "shieldKind": 1,
             "masterKind": 2,
--- a/damsonstream/demo/fleet.py
+++ b/damsonstream/demo/fleet.py
@@ -1,8 +1,7 @@
-"""The gateways of a play: real processes of this program, each with a configuration and records of its own.
+"""Runs gateways as processes of this program, each with its own configuration and records.
 
-How it is called: `Fleet(folder, ...)`; `await start(name)` starts one and waits until it listens,
-`kill(name)` ends one as a crash does, `await stop()` ends all as an operator does. Only processes started
-here are ever signalled.
+With `Fleet(folder, ...)`, `await start(name)` starts one and waits until it listens, `kill(name)` kills one,
+and `await stop()` shuts all down. Only processes started here are ever signalled.
 """
 
 from __future__ import annotations
@@ -22,76 +21,82 @@
 import anyio
 
 import damsonstream
-from damsonstream.demo.scenario import ClockOff
+from damsonstream.demo.scenario import ClockSkew
 from damsonstream.standins.servers import LOOPBACK
 
-READY = 10.0  # seconds for a gateway to listen, on a machine that is busy
-END = 8.0  # seconds for it to end after SIGTERM
+START_TIMEOUT = 10.0  # seconds for a gateway to listen, on a busy machine
+STOP_TIMEOUT = 8.0  # seconds for a gateway to exit after SIGTERM
 
 
-PORTS = range(12_000, 30_000)  # below those that the system gives out by itself, and so takes meanwhile
+PORTS = range(12_000, 30_000)  # below the ephemeral ports, which the system may assign meanwhile
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """One that nobody has just now; drawn, so that plays side by side rarely meet."""
+    """Returns a free port; a random one, so that concurrent runs rarely collide."""
     for _ in range(1000):
         port = secrets.choice(PORTS)
-        with socket.socket(socket.AF_INET, kind) as one:
+        with socket.socket(socket.AF_INET, kind) as probe:
             try:
-                one.bind((LOOPBACK, port))
+                probe.bind((LOOPBACK, port))
             except OSError:
                 continue
             return port
     raise OSError("no port is free")
 
 
-def command() -> list[str]:
-    """This program once more: the sources of this folder, or what is installed."""
+def base_command() -> list[str]:
+    """Returns the command line of this program: from the sources in the current folder, or as installed."""
     here = Path(damsonstream.__file__).parents[1] == Path.cwd()
     return [sys.executable, *([] if here else ["-P"]), "-m", "damsonstream"]
 
 
 class Fleet:
+    """The gateway processes of one run."""
+
     def __init__(
         self,
         folder: Path,
         records: Path,
         names: list[str],
-        clocks: tuple[ClockOff, ...],
-        settings: Callable[[str], dict[str, Any]],
-        operator: str = "",
+        clocks: tuple[ClockSkew, ...],
+        config_for: Callable[[str], dict[str, Any]],
+        operator_kdl: str = "",
     ) -> None:
-        """`settings`: all of a gateway's configuration but its name, address and seed, as it is told now;
-        `operator`: KDL that each gateway's own settings hold besides records."""
-        self.operator = operator
-        self.folder, self.records, self.names, self.settings = folder, records, names, settings
+        """Prepares the processes; starts none.
+
+        `config_for` returns a gateway's current configuration except its name, address and seed;
+        `operator_kdl` is KDL that is appended to the `records` section of each operator file.
+        """
+        self.operator_kdl = operator_kdl
+        self.folder, self.records_folder, self.names, self.config_for = folder, records, names, config_for
         self.clocks = {clock.gateway: clock for clock in clocks}
         self.addresses = {name: (LOOPBACK, free_port()) for name in names}
         self.running: dict[str, subprocess.Popen[bytes]] = {}
-        self.started = {name: 0 for name in names}
+        self.start_counts = {name: 0 for name in names}
 
     def write(self, name: str) -> tuple[Path, Path]:
+        """Writes a gateway's configuration and its operator file."""
         host, port = self.addresses[name]
-        told = {"name": name, "listen": f"{host}:{port}", "seed": f"{self.started[name]:04x}{port:012x}",
-                **self.settings(name)}  # fmt: skip
-        config, operator = self.folder / f"{name}.json", self.folder / f"{name}.kdl"
-        config.write_text(json.dumps(told, indent=1))
-        off = self.clocks.get(name)
-        trial = f"    trial-clock {{ shift {off.shift}; drift {off.drift:.9f}; }}\n" if off else ""
-        records = f"records {{\n    folder {json.dumps(str(self.records))}\n{trial}}}\n"
-        operator.write_text(records + self.operator)
-        return config, operator
+        contents = {"name": name, "listen": f"{host}:{port}",
+                    "seed": f"{self.start_counts[name]:04x}{port:012x}", **self.config_for(name)}  # fmt: skip
+        config_path, operator_path = self.folder / f"{name}.json", self.folder / f"{name}.kdl"
+        config_path.write_text(json.dumps(contents, indent=1))
+        skew = self.clocks.get(name)
+        trial = f"    trial-clock {{ shift {skew.shift}; drift {skew.drift:.9f}; }}\n" if skew else ""
+        records_kdl = f"records {{\n    folder {json.dumps(str(self.records_folder))}\n{trial}}}\n"
+        operator_path.write_text(records_kdl + self.operator_kdl)
+        return config_path, operator_path
 
     async def start(self, name: str) -> None:
-        self.started[name] += 1
-        config, operator = self.write(name)
+        self.start_counts[name] += 1
+        config_path, operator_path = self.write(name)
         with (self.folder / f"{name}.log").open("ab") as log:
             self.running[name] = subprocess.Popen(
-                [*command(), "serve", "--config", str(config), "--operator", str(operator)],
+                [*base_command(), "serve", "--config", str(config_path), "--operator", str(operator_path)],
                 stdout=log, stderr=log, stdin=subprocess.DEVNULL, start_new_session=True,
             )  # fmt: skip
-        until = time.monotonic() + READY
-        while time.monotonic() < until:
+        deadline = time.monotonic() + START_TIMEOUT
+        while time.monotonic() < deadline:
             if self.running[name].poll() is not None:
                 break
             try:
@@ -107,26 +112,26 @@
         self.running[name].send_signal(signal.SIGKILL)
         self.running.pop(name).wait()
 
-    def stall(self, name: str) -> None:
-        """It stands still, as one without a processor does, until `resume`."""
+    def pause(self, name: str) -> None:
+        """Suspends a gateway, as if it got no CPU time, until `resume`."""
         self.running[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
         if name in self.running:
             self.running[name].send_signal(signal.SIGCONT)
 
-    def hang_up(self) -> None:
-        """All read their files again."""
+    def reload(self) -> None:
+        """Makes all gateways reload their files (SIGHUP)."""
         for process in self.running.values():
             process.send_signal(signal.SIGHUP)
 
     async def stop(self) -> dict[str, int]:
-        """Exit codes by name; one that does not end in time is killed."""
+        """Shuts all gateways down and returns their exit codes; those that exceed the timeout are killed."""
         for process in self.running.values():
             process.send_signal(signal.SIGTERM)
-        until = time.monotonic() + END
+        deadline = time.monotonic() + STOP_TIMEOUT
         codes: dict[str, int] = {}
-        while self.running and time.monotonic() < until:
+        while self.running and time.monotonic() < deadline:
             for name, process in list(self.running.items()):
                 if (code := process.poll()) is not None:
                     codes[name] = code
@@ -137,8 +142,8 @@
             codes[name] = -signal.SIGKILL
         return codes
 
-    def abandon(self) -> None:
-        """At a fault of the play: nothing that was started here stays."""
+    def kill_all(self) -> None:
+        """Kills all remaining processes, also after a failure of the run."""
         for process in self.running.values():
             if process.poll() is None:
                 os.kill(process.pid, signal.SIGKILL)
--- a/damsonstream/demo/verdict.py
+++ b/damsonstream/demo/verdict.py
@@ -1,6 +1,6 @@
-"""What the records say of each GET, by its id: what the checker compares with the viewers' side.
+"""Collects what the records contain about each GET, for comparison with the viewers' observations.
 
-How it is called: `recorded(folder)` goes through all records once.
+`recorded(folder)` reads all records once, and returns the GETs by their ids.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 from damsonstream.records import model, store
 
 
-class ByIdent:
-    """Listens to ledgers, and keeps a line for each GET: for plays, which are short."""
+class RecordedGets:
+    """A listener of ledgers that keeps an entry for each GET; unbounded, as runs are short."""
 
     def __init__(self) -> None:
-        self.seen: dict[str, Recorded] = {}
+        self.recorded: dict[str, Recorded] = {}
         self.idents: dict[tuple[str, int, int], str] = {}
 
-    def of(self, gateway: str, ident: str) -> Recorded:
-        return self.seen.setdefault(ident, Recorded(gateway, [], ""))
+    def entry_for(self, gateway: str, ident: str) -> Recorded:
+        return self.recorded.setdefault(ident, Recorded(gateway, [], ""))
 
     def record(self, gateway: str, boot: int, record: model.AnyRecord) -> None:
         if isinstance(record, model.Taken):
             self.idents[gateway, boot, record.get] = record.ident
-            self.of(gateway, record.ident)
+            self.entry_for(gateway, record.ident)
         elif isinstance(record, model.Turned):
-            self.of(gateway, record.ident).answers.append(record.outcome)
+            self.entry_for(gateway, record.ident).answers.append(record.outcome)
 
     def sent(self, get: Get, sent: model.Sent) -> None:
         pass
@@ -37,22 +37,22 @@
 
     def answered(self, get: Get) -> None:
         assert get.answered is not None
-        self.of(get.gateway, get.taken.ident).answers.append(get.answered.outcome)
+        self.entry_for(get.gateway, get.taken.ident).answers.append(get.answered.outcome)
 
     def over(self, get: Get, verdict: str) -> None:
-        self.of(get.gateway, get.taken.ident).verdict = verdict
+        self.entry_for(get.gateway, get.taken.ident).verdict = verdict
 
     def stray(self, gateway: str, boot: int, record: Stray) -> None:
         ident = self.idents.get((gateway, boot, record.get), f"number {record.get}")
         if isinstance(record, model.Answered):
-            self.of(gateway, ident).answers.append(record.outcome)
+            self.entry_for(gateway, ident).answers.append(record.outcome)
 
 
 def recorded(folder: Path) -> dict[str, Recorded]:
-    listener = ByIdent()
+    listener = RecordedGets()
     for name, path in store.gateways(folder).items():
         ledger = Ledger(name, listener)
         for entry in store.Reader(path).read():
             ledger.feed(entry)
         ledger.close(running=False)
-    return listener.seen
+    return listener.recorded
--- a/damsonstream/standins/faults.py
+++ b/damsonstream/standins/faults.py
@@ -1,7 +1,7 @@
-"""What goes wrong with stand-ins, when and for how long. No I/O.
+"""The scripted faults of stand-ins. No I/O.
 
-How it is called: `Plan(faults)` is asked `condition(node, at)`; times are seconds since the play began.
-Faults on one node add up: delays are summed, of shares the largest holds.
+`FaultPlan(faults).condition(node, at)` returns the condition of a node; times are seconds since the start of
+the run. Faults of one node combine: delays add up, and of each share the largest applies.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """`amount`: milliseconds for slow, a share for fail, shed and hang; else it has none."""
+    """`amount`: milliseconds for slow, a share of GETs for fail, shed and hang; unused by crash and reset."""
 
     node: str
     kind: str
@@ -24,7 +24,7 @@
 
     def __post_init__(self) -> None:
         if self.kind not in KINDS:
-            raise ValueError(f"{self.kind} is no kind of fault")
+            raise ValueError(f"{self.kind} is not a kind of fault")
 
     @property
     def end(self) -> float:
@@ -33,16 +33,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Condition:
-    """How a node is at one time."""
+    """The condition of a node at one time."""
 
     delay: float = 0.0  # seconds, before the first byte
-    hang: float = 0.0  # share that is never answered
+    hang: float = 0.0  # share of GETs and fills that is never answered
     fail: float = 0.0  # share that is errored
-    shed: float = 0.0  # share that is turned away
+    shed: float = 0.0  # share that is shed
     down: bool = False
 
 
-WELL = Condition()
+HEALTHY = Condition()
 
 
 class Plan:
@@ -55,17 +55,17 @@
     def condition(self, node: str, at: float) -> Condition:
         faults = [fault for fault in self.by_node.get(node, ()) if fault.start <= at < fault.end]
         if not faults:
-            return WELL
+            return HEALTHY
 
-        def most(kind: str) -> float:
+        def maximum(kind: str) -> float:
             return max((fault.amount for fault in faults if fault.kind == kind), default=0.0)
 
         delay = sum(fault.amount / 1000 for fault in faults if fault.kind == "slow")
         down = any(fault.kind == "crash" for fault in faults)
-        return Condition(delay, most("hang"), most("fail"), most("shed"), down)
+        return Condition(delay, maximum("hang"), maximum("fail"), maximum("shed"), down)
 
     def edges(self, kind: str) -> list[tuple[float, Fault, bool]]:
-        """Beginnings and ends of the faults of a kind, in order: when, which, whether it begins."""
+        """Returns the starts and ends of the faults of a kind in order: time, fault, whether it starts."""
         found = [
             (when, fault, begins)
             for fault in self.faults
--- a/damsonstream/standins/servers.py
+++ b/damsonstream/standins/servers.py
@@ -1,11 +1,11 @@
-"""Stand-ins for caches, hubs, the vault and the bulletin, on loopback, with scripted faults.
+"""Stand-ins for caches, parents, the origin and the discovery service, on loopback, with scripted faults.
 
-How it is called: `World(...)` holds all nodes of a play; `await world.open()` makes their listeners,
-`world.run()` plays the scripted crashes and resets, `world.publish(news)` tells the bulletin. All chance
-comes from the seed.
+`StandIns(...)` holds all nodes of one run: `await stand_ins.open()` starts their listeners, `run()` executes
+the scripted crashes and resets, and `discovery.publish(event)` sends a discovery event. All randomness comes
+from the seed. Roles and names follow the configuration: a "hub" is a parent, the "vault" is the origin.
 
-Fills between nodes are calls inside this process, with the source's conditions and delay: the protocol
-between caches is theirs, and no gateway sees it.
+Fills between nodes are calls within this process, with the faults and the delay of the source: gateways never
+see the protocol between caches.
 """
 
 from __future__ import annotations
@@ -25,34 +25,38 @@
 from damsonstream.transport.link import Link
 
 LOOPBACK = "127.0.0.1"
-SETTLE = 0.2  # seconds within which a node drops what was purged
-HIT = 0.002  # seconds for a hit: a look-up in memory, and the link of the shop
-FETCH = {"hub": 0.008, "vault": 0.030}  # seconds to the first byte of a source that is well
-PACE = 40e6  # bytes a second on the way
-LONGEST = 10.0  # seconds for a fill, then its source counts as broken
-QUEUE = 4  # GETs that may wait for each one under way, then they are turned away
+SETTLE = 0.2  # seconds within which a node drops purged copies
+HIT = 0.002  # seconds for a hit: memory lookup and network within the shop
+FETCH = {"hub": 0.008, "vault": 0.030}  # seconds to the first byte of a healthy source, by role
+PACE = 40e6  # bytes per second of an answer's transfer
+LONGEST = 10.0  # seconds for a fill, after which its source counts as broken
+QUEUE = 4  # queued GETs per GET in progress; further ones are shed
 
 
 @dataclass(slots=True)
-class Kind:
-    """What every node of a role is like."""
+class NodeKind:
+    """The capacity of every node of a role."""
 
     role: str  # cache, hub or vault
-    memory: int  # bytes
-    lanes: int  # GETs under way at once
+    memory: int  # capacity for copies in bytes
+    lanes: int  # GETs processed at once
 
 
-Give = Callable[[], Awaitable[tuple[Copy, str]]]
+FillFunction = Callable[[], Awaitable[tuple[Copy, str]]]
 
 
-class Fill(Exception):
-    """A source did not give; the text is the note that the cache's answer bears."""
+class FillError(Exception):
+    """A fill failed; the text is the note (`res`) in the cache's answer."""
 
 
 class Node:
-    def __init__(self, world: World, id: int, name: str, kind: Kind, location: int, cell: int) -> None:
+    """One cache, parent or origin."""
+
+    def __init__(
+        self, stand_ins: World, id: int, name: str, kind: NodeKind, location: int, cell: int
+    ) -> None:
         self.world, self.id, self.name, self.kind, self.location, self.cell = (
-            world,
+            stand_ins,
             id,
             name,
             kind,
@@ -61,19 +65,20 @@
         )
         self.uid = f"s-{id:08x}"
         self.shelf = Shelf(kind.memory)
-        self.lanes = asyncio.Semaphore(kind.lanes)
-        self.under_way = 0  # GETs and fills that are here
-        self.fills: dict[Key, asyncio.Future[tuple[Copy, str]]] = {}  # emptied as they end
+        self.free_slots = asyncio.Semaphore(kind.lanes)
+        self.in_progress = 0  # GETs and fills being processed or queued
+        self.fills: dict[Key, asyncio.Future[tuple[Copy, str]]] = {}  # running fills; removed as they end
         self.links: set[CacheLink] = set()
         self.server: asyncio.Server | None = None
         self.port = 0
         self.state, self.started_ms = 0, 0
-        self.given = self.asked = 0  # fills given; GETs that came
-        self.asked_at: list[float] = []  # seconds at which fills were asked of it: the vault's rate
+        self.fills_served = self.gets_received = 0
+        self.fill_request_times: list[float] = []  # times at which it received fill requests
 
-    def listed(self) -> wire.Listed:
+    def list_entry(self) -> wire.ListedNode:
+        """Returns the node's entry in the discovery list."""
         model = self.world.models.index({"cache": "box", "hub": "hub", "vault": "vault"}[self.kind.role])
-        return wire.Listed(self.id, (LOOPBACK, self.port), self.state, self.location, model, self.cell,
+        return wire.ListedNode(self.id, (LOOPBACK, self.port), self.state, self.location, model, self.cell,
                            float(self.kind.lanes), self.started_ms)  # fmt: skip
 
     def condition(self) -> Condition:
@@ -85,7 +90,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def crash(self) -> None:
-        """Gone at once: nothing listens, connections are reset, memory is lost."""
+        """Stops listening, resets all connections and drops all copies, as a crash does."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -93,56 +98,62 @@
         self.shelf.clear()
 
     def reset(self) -> None:
-        for link in list(self.links):
-            link.end("reset")
+        """Resets all connections."""
+        for connection in list(self.links):
+            connection.end("reset")
 
     async def restart(self) -> None:
         await self.listen()
         self.started_ms = self.world.unix_ms()
 
-    async def give(
-        self, asker: Node, key: Key, group: int, size: int, newer: int, only_held: bool
+    async def serve_fill(
+        self, requester: Node, key: Key, group: int, size: int, max_age: int, only_if_cached: bool
     ) -> tuple[Copy, str]:
-        """A fill: a copy and the note of where it came from."""
-        world = self.world
-        if (wait := max(world.held(asker.name, self.name), world.held(self.name, asker.name))) > 0:
-            await anyio.sleep(wait)  # nothing passes between them: silence, and it goes on later
+        """Serves a fill for another node; returns the copy and a note on where it came from.
+
+        `max_age` is in milliseconds, 0 for any. Raises FillError.
+        """
+        stand_ins = self.world
+        if (
+            wait := max(stand_ins.held(requester.name, self.name), stand_ins.held(self.name, requester.name))
+        ) > 0:
+            await anyio.sleep(wait)  # the link is blocked: the request is delayed until it recovers
         condition = self.condition()
-        self.asked_at.append(world.now())
-        world.filled(asker, self)
+        self.fill_request_times.append(stand_ins.now())
+        stand_ins.on_fill(requester, self)
         if condition.down:
-            raise Fill("src_broke")
-        if world.chance.random() < condition.hang:
+            raise FillError("src_broke")
+        if stand_ins.rng.random() < condition.hang:
             await anyio.sleep(3600)
-        if world.chance.random() < condition.shed or self.under_way > self.kind.lanes * (1 + QUEUE):
-            raise Fill("src_refused")
-        self.under_way += 1
+        if stand_ins.rng.random() < condition.shed or self.in_progress > self.kind.lanes * (1 + QUEUE):
+            raise FillError("src_refused")
+        self.in_progress += 1
         try:
-            async with self.lanes:
+            async with self.free_slots:
                 await anyio.sleep(
-                    FETCH[self.kind.role] * (0.8 + 0.4 * world.chance.random()) + condition.delay
+                    FETCH[self.kind.role] * (0.8 + 0.4 * stand_ins.rng.random()) + condition.delay
                 )
                 if self.condition().down:
-                    raise Fill("src_broke")
-                if world.chance.random() < condition.fail:
-                    raise Fill("src_broke")
+                    raise FillError("src_broke")
+                if stand_ins.rng.random() < condition.fail:
+                    raise FillError("src_broke")
                 note = "filled"
                 if self.kind.role == "vault":
-                    copy: Copy | None = Copy(world.unix_ms(), size, group)
+                    copy: Copy | None = Copy(stand_ins.unix_ms(), size, group)
                 else:
-                    copy = self.shelf.find(key, world.unix_ms(), newer)
+                    copy = self.shelf.find(key, stand_ins.unix_ms(), max_age)
                     if copy is None:
-                        if only_held:
-                            raise Fill("src_lacks")
-                        copy, note = await self.fetch(key, group, size, newer)
+                        if only_if_cached:
+                            raise FillError("src_lacks")
+                        copy, note = await self.fill_from_origin(key, group, size, max_age)
                 assert copy is not None
-                self.given += 1
+                self.fills_served += 1
                 return copy, note
         finally:
-            self.under_way -= 1
+            self.in_progress -= 1
 
-    def begin(self, key: Key, give: Give) -> asyncio.Future[tuple[Copy, str]]:
-        """A fill that goes on by itself, also when those who asked for it have left."""
+    def start_fill(self, key: Key, fill_function: FillFunction) -> asyncio.Future[tuple[Copy, str]]:
+        """Starts a fill that continues when the GETs that wait for it are cancelled."""
         future: asyncio.Future[tuple[Copy, str]] = asyncio.get_running_loop().create_future()
         future.add_done_callback(lambda done: done.cancelled() or done.exception())
         self.fills.setdefault(key, future)
@@ -150,32 +161,34 @@
         async def run() -> None:
             try:
                 with anyio.fail_after(LONGEST):
-                    copy, note = await give()
+                    copy, note = await fill_function()
                 self.shelf.keep(key, copy)
                 future.set_result((copy, note))
-            except Fill as fault:
+            except FillError as fault:
                 future.set_exception(fault)
             except TimeoutError:
-                future.set_exception(Fill("src_broke"))
+                future.set_exception(FillError("src_broke"))
             finally:
                 if self.fills.get(key) is future:
                     del self.fills[key]
                 if not future.done():
-                    future.set_exception(Fill("src_broke"))
+                    future.set_exception(FillError("src_broke"))
 
         assert self.world.group is not None
         self.world.group.start_soon(run)
         return future
 
-    async def fetch(self, key: Key, group: int, size: int, newer: int) -> tuple[Copy, str]:
-        """A hub's own miss: the vault gives it; those that come meanwhile wait for the same."""
+    async def fill_from_origin(self, key: Key, group: int, size: int, max_age: int) -> tuple[Copy, str]:
+        """Fills a miss of this parent from the origin; concurrent misses of a key share one fill."""
         running = self.fills.get(key)
         if running is None:
-            running = self.begin(key, lambda: self.world.vault.give(self, key, group, size, newer, False))
+            running = self.start_fill(
+                key, lambda: self.world.origin.serve_fill(self, key, group, size, max_age, False)
+            )
         try:
             copy, _ = await asyncio.shield(running)
-        except Fill as fault:
-            raise Fill("origin_failed") from fault
+        except FillError as fault:
+            raise FillError("origin_failed") from fault
         return copy, "via_origin"
 
 
@@ -184,232 +197,256 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__()
-        self.node, self.commands = node, wire.Commands()
-        self.open: dict[bytes, anyio.CancelScope] = {}  # by id; emptied by answers and stops
-        self.sender: object = None
+        self.node, self.commands = node, wire.CommandDecoder()
+        self.open_gets: dict[bytes, anyio.CancelScope] = {}  # by id; removed by answers and cancellation
+        self.peer_address: object = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.sender = transport.get_extra_info("peername")
+        self.peer_address = transport.get_extra_info("peername")
         self.node.links.add(self)
 
     def ended(self) -> None:
         self.node.links.discard(self)
-        for scope in list(self.open.values()):
+        for scope in list(self.open_gets.values()):
             scope.cancel()
 
     def took(self, data: bytes) -> None:
         try:
             for command in self.commands.feed(data):
                 self.obey(command)
-        except wire.Broken as fault:
-            self.node.world.fault(f"{self.node.name} was sent what can't be read: {fault}")
+        except wire.ProtocolError as fault:
+            self.node.world.report_violation(f"{self.node.name} received a malformed command: {fault}")
             self.end("malformed")
 
     def obey(self, command: wire.Command) -> None:
         if command.word == "HELO":
-            self.send(wire.answer(command.ident, "green", {}))
+            self.send(wire.encode_answer(command.ident, "green", {}))
         elif command.word == "STOP":
-            if (scope := self.open.get(command.ident)) is not None:
+            if (scope := self.open_gets.get(command.ident)) is not None:
                 scope.cancel()
-        elif command.ident in self.open:
-            self.node.world.fault(f"{self.node.name} was sent an id that is open")
+        elif command.ident in self.open_gets:
+            self.node.world.report_violation(f"{self.node.name} received the id of an open GET")
             self.end("malformed")
         else:
             group = self.node.world.group
             if group is not None:
-                scope = self.open[command.ident] = anyio.CancelScope()
-                group.start_soon(self.live, command, scope)
+                scope = self.open_gets[command.ident] = anyio.CancelScope()
+                group.start_soon(self.handle_get, command, scope)
 
-    async def live(self, command: wire.Command, scope: anyio.CancelScope) -> None:
-        """One GET at a node, from its coming to its answer."""
-        node, world, fields = self.node, self.node.world, command.fields
-        node.asked += 1
+    async def handle_get(self, command: wire.Command, scope: anyio.CancelScope) -> None:
+        """Processes one GET until its answer is sent, its time is over, or it is cancelled."""
+        node, stand_ins, fields = self.node, self.node.world, command.fields
+        node.gets_received += 1
         try:
             with scope, anyio.move_on_after(int(fields["ms"]) / 1000):
-                word, told, body = await self.work(command)
-                told["gauges"] = f"inflight:{node.under_way}"
-                if command.ident in self.open and not node.condition().down:
-                    self.send(wire.answer(command.ident, word, told, body))
+                word, answer_fields, body = await self.process_get(command)
+                answer_fields["gauges"] = f"inflight:{node.in_progress}"
+                if command.ident in self.open_gets and not node.condition().down:
+                    self.send(wire.encode_answer(command.ident, word, answer_fields, body))
         except (KeyError, ValueError) as fault:
-            world.fault(f"{node.name} was sent unusable fields: {fault}")
-            self.send(wire.answer(command.ident, "crashed", {}))
+            stand_ins.report_violation(f"{node.name} received unusable fields: {fault}")
+            self.send(wire.encode_answer(command.ident, "crashed", {}))
         finally:
-            self.open.pop(command.ident, None)
+            self.open_gets.pop(command.ident, None)
 
-    async def work(self, command: wire.Command) -> tuple[str, dict[str, str], bytes]:
-        node, world, fields = self.node, self.node.world, command.fields
+    async def process_get(self, command: wire.Command) -> tuple[str, dict[str, str], bytes]:
+        """Returns the result word, the fields and the body of the answer."""
+        node, stand_ins, fields = self.node, self.node.world, command.fields
         condition = node.condition()
         key = (fields["kind"], fields["obj"], fields["seg"])
-        world.arrived(node, fields, self.sender)
-        if world.chance.random() < condition.hang:
+        stand_ins.check_forward(node, fields, self.peer_address)
+        if stand_ins.rng.random() < condition.hang:
             await anyio.sleep(3600)
-        full = node.under_way >= node.kind.lanes * (1 + QUEUE)
-        if full or world.chance.random() < condition.shed:
+        full = node.in_progress >= node.kind.lanes * (1 + QUEUE)
+        if full or stand_ins.rng.random() < condition.shed:
             return "overload", {}, b""
-        node.under_way += 1
+        node.in_progress += 1
         try:
-            async with node.lanes:
+            async with node.free_slots:
                 await anyio.sleep(HIT + condition.delay)
-                if world.chance.random() < condition.fail:
+                if stand_ins.rng.random() < condition.fail:
                     return "crashed", {}, b""
-                return await self.serve(key, fields, command.body)
+                return await self.serve_object(key, fields, command.body)
         finally:
-            node.under_way -= 1
+            node.in_progress -= 1
 
-    async def serve(self, key: Key, fields: dict[str, str], body: bytes) -> tuple[str, dict[str, str], bytes]:
-        node, world = self.node, self.node.world
-        group, size = world.describe(key)
+    async def serve_object(
+        self, key: Key, fields: dict[str, str], body: bytes
+    ) -> tuple[str, dict[str, str], bytes]:
+        node, stand_ins = self.node, self.node.world
+        group, size = stand_ins.describe(key)
         if token := fields.get("token"):
-            return await self.effect(token, fields)
-        newer = int(fields.get("newer", "0"))
-        copy, note, waited = node.shelf.find(key, world.unix_ms(), newer), "hit", 0.0
+            return await self.run_effect(token, fields)
+        max_age = int(fields.get("newer", "0"))
+        copy, note, waited = node.shelf.find(key, stand_ins.unix_ms(), max_age), "hit", 0.0
         if copy is None:
-            source = world.by_uid.get(fields.get("fetch", ""))
+            source = stand_ins.by_uid.get(fields.get("fetch", ""))
             if source is None:
                 return "not_here", {}, b""
-            began = world.now()
+            started_at = stand_ins.now()
             try:
-                copy, note, waited = await self.fill(key, group, size, fields, source, newer, began)
-            except Fill as fault:
-                told = {"res": str(fault), "took": f"{(world.now() - began) * 1000:.0f}"}
+                copy, note, waited = await self.fill(key, group, size, fields, source, max_age, started_at)
+            except FillError as fault:
+                answer_fields = {"res": str(fault), "took": f"{(stand_ins.now() - started_at) * 1000:.0f}"}
                 return (
                     {"src_lacks": "not_here", "src_refused": "overload"}.get(str(fault), "crashed"),
-                    told,
+                    answer_fields,
                     b"",
                 )
-        told = {"res": note, "version": copy.version, "stamp": str(copy.stamp)}
+        answer_fields = {"res": note, "version": copy.version, "stamp": str(copy.stamp)}
         if waited:
-            told["took"] = f"{waited * 1000:.0f}"
+            answer_fields["took"] = f"{waited * 1000:.0f}"
         if fields.get("holds") == copy.version:
-            return "still_good", told, b""
+            return "still_good", answer_fields, b""
         await anyio.sleep(copy.size / PACE)
-        return "served", told, world.bytes_of(key, copy)
+        return "served", answer_fields, stand_ins.content(key, copy)
 
     async def fill(
-        self, key: Key, group: int, size: int, fields: dict[str, str], source: Node, newer: int, began: float
+        self,
+        key: Key,
+        group: int,
+        size: int,
+        fields: dict[str, str],
+        source: Node,
+        max_age: int,
+        started_at: float,
     ) -> tuple[Copy, str, float]:
-        node, world = self.node, self.node.world
-        how = fields.get("handle", "").split("+")
+        node, stand_ins = self.node, self.node.world
+        directives = fields.get("handle", "").split("+")
         running, note = node.fills.get(key), "joined"
-        if "collapse" not in how or running is None:
-            only_held = "only-if-cached" in how
-            running, note = node.begin(key, lambda: source.give(node, key, group, size, newer, only_held)), ""
-        copy, where = await asyncio.shield(running)
-        return copy, note or where, world.now() - began
-
-    async def effect(self, token: str, fields: dict[str, str]) -> tuple[str, dict[str, str], bytes]:
-        """A GET that changes something: it runs at the vault, once for each token."""
-        world, began = self.node.world, self.node.world.now()
-        condition, source = world.vault.condition(), world.by_uid.get(fields.get("fetch", ""), world.vault)
-        way = source.condition()
-        if way.down or (source is not world.vault and world.chance.random() < way.fail):
-            return "crashed", {"res": "src_broke"}, b""  # it passes nothing on, so that nothing ran
+        if "collapse" not in directives or running is None:
+            only_held = "only-if-cached" in directives
+            running, note = (
+                node.start_fill(key, lambda: source.serve_fill(node, key, group, size, max_age, only_held)),
+                "",
+            )
+        copy, source_note = await asyncio.shield(running)
+        return copy, note or source_note, stand_ins.now() - started_at
+
+    async def run_effect(self, token: str, fields: dict[str, str]) -> tuple[str, dict[str, str], bytes]:
+        """Runs a GET that has an effect: at the origin, once for each token."""
+        stand_ins, started_at = self.node.world, self.node.world.now()
+        condition, source = (
+            stand_ins.origin.condition(),
+            stand_ins.by_uid.get(fields.get("fetch", ""), stand_ins.origin),
+        )
+        source_condition = source.condition()
+        if source_condition.down or (
+            source is not stand_ins.origin and stand_ins.rng.random() < source_condition.fail
+        ):
+            return "crashed", {"res": "src_broke"}, b""  # nothing reached the origin, so nothing ran
         if condition.down:
             return "crashed", {"res": "origin_failed"}, b""
         await anyio.sleep(FETCH["vault"] + condition.delay)
-        world.effects.run(token, world.now())
-        waited = (world.now() - began) * 1000
-        note = "filled" if source is world.vault else "via_origin"
-        return "served", {"res": note, "took": f"{waited:.0f}", "stamp": str(world.unix_ms())}, b"done"
+        stand_ins.effects.run(token, stand_ins.now())
+        waited = (stand_ins.now() - started_at) * 1000
+        note = "filled" if source is stand_ins.origin else "via_origin"
+        return "served", {"res": note, "took": f"{waited:.0f}", "stamp": str(stand_ins.unix_ms())}, b"done"
 
 
-class Bulletin:
-    """Numbered news, to whoever asks for what follows a number."""
+class DiscoveryServer:
+    """The discovery service: sends numbered events, from the number after the one that a gateway names."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.events: list[wire.News] = []
-        self.others: list[Bulletin] = []  # tell the same events, to one gateway each
-        self.view: Callable[[wire.News], wire.News] = lambda news: news  # as its gateway is to see them
-        self.links: set[BulletinLink] = set()
+    def __init__(self, stand_ins: World) -> None:
+        self.world = stand_ins
+        self.events: list[wire.Event] = []
+        self.per_gateway: list[DiscoveryServer] = []  # listeners with the same events, one for each gateway
+        self.transform: Callable[[wire.Event], wire.Event] = lambda event: event  # applied to each sent event
+        self.links: set[DiscoveryConnection] = set()
         self.server: asyncio.Server | None = None
         self.port = 0
 
     async def listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: BulletinLink(self), LOOPBACK, self.port)
+        self.server = await loop.create_server(lambda: DiscoveryConnection(self), LOOPBACK, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def publish(self, news: wire.News) -> int:
-        self.events.append(news)
-        for one in (self, *self.others):
-            for link in one.links:
-                link.catch_up()
+    def publish(self, event: wire.Event) -> int:
+        self.events.append(event)
+        for server in (self, *self.per_gateway):
+            for connection in server.links:
+                connection.catch_up()
         return len(self.events)
 
-    def view_for(self, view: Callable[[wire.News], wire.News]) -> Bulletin:
-        """Another listener that tells the same."""
-        other = Bulletin(self.world)
-        other.events, other.view = self.events, view
-        self.others.append(other)
+    def add_listener(self, transform: Callable[[wire.Event], wire.Event]) -> DiscoveryServer:
+        """Adds a listener that sends the same events, changed by `transform`."""
+        other = DiscoveryServer(self.world)
+        other.events, other.transform = self.events, transform
+        self.per_gateway.append(other)
         return other
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
             await anyio.sleep(1.0)
-            for one in (self, *self.others):
-                for link in one.links:
-                    link.beat()
+            for server in (self, *self.per_gateway):
+                for connection in server.links:
+                    connection.send_heartbeat()
 
 
-class BulletinLink(Link):
-    def __init__(self, bulletin: Bulletin) -> None:
+class DiscoveryConnection(Link):
+    """One gateway's discovery watch; `last_sent` is -1 until the gateway has named its last event."""
+
+    def __init__(self, discovery: DiscoveryServer) -> None:
         super().__init__()
-        self.bulletin, self.hello, self.told = bulletin, b"", -1
+        self.discovery, self.received, self.last_sent = discovery, b"", -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.bulletin.links.add(self)
+        self.discovery.links.add(self)
 
     def ended(self) -> None:
-        self.bulletin.links.discard(self)
+        self.discovery.links.discard(self)
 
     def took(self, data: bytes) -> None:
-        if self.told < 0:
-            self.hello += data
-            if len(self.hello) >= 8:
-                self.told = int.from_bytes(self.hello[:8], "big")
+        if self.last_sent < 0:
+            self.received += data
+            if len(self.received) >= 8:
+                self.last_sent = int.from_bytes(self.received[:8], "big")
                 self.catch_up()
 
     def catch_up(self) -> None:
-        while 0 <= self.told < len(self.bulletin.events):
-            self.told += 1
-            self.send(wire.frame(self.told, self.bulletin.view(self.bulletin.events[self.told - 1])))
+        while 0 <= self.last_sent < len(self.discovery.events):
+            self.last_sent += 1
+            self.send(
+                wire.encode_frame(
+                    self.last_sent, self.discovery.transform(self.discovery.events[self.last_sent - 1])
+                )
+            )
 
-    def beat(self) -> None:
-        if self.told >= 0:
-            self.send(wire.frame(self.told, None))
+    def send_heartbeat(self) -> None:
+        if self.last_sent >= 0:
+            self.send(wire.encode_frame(self.last_sent, None))
 
 
 @dataclass(slots=True, frozen=True)
 class Shape:
-    """How large a fleet of stand-ins is: caches of one shop, hubs, one vault."""
+    """The number of shops, caches per shop and parents, and the capacity of each role; one origin."""
 
     shops: int = 1
     caches: int = 3
     hubs: int = 2
-    cache: Kind = field(default_factory=lambda: Kind("cache", 6 << 20, 24))
-    hub: Kind = field(default_factory=lambda: Kind("hub", 48 << 20, 64))
-    vault: Kind = field(default_factory=lambda: Kind("vault", 0, 48))
+    cache: NodeKind = field(default_factory=lambda: NodeKind("cache", 6 << 20, 24))
+    hub: NodeKind = field(default_factory=lambda: NodeKind("hub", 48 << 20, 64))
+    vault: NodeKind = field(default_factory=lambda: NodeKind("vault", 0, 48))
 
 
 class World:
-    """All stand-ins of one play."""
+    """All stand-ins of one run."""
 
     models = ("box", "hub", "vault")
 
     def __init__(
         self, shape: Shape, plan: Plan, seed: int, describe: Callable[[Key], tuple[int, int]],
-        remembered: float = 3.0,
+        token_memory: float = 3.0,
     ) -> None:  # fmt: skip
-        self.plan, self.chance, self.describe = plan, random.Random(seed), describe
-        self.effects = Effects(remembered)
-        self.faults: list[str] = []  # what gateways did that the protocol does not allow; bounded
-        self.fault_count = 0
+        self.plan, self.rng, self.describe = plan, random.Random(seed), describe
+        self.effects = Effects(token_memory)
+        self.faults: list[str] = []  # protocol violations by gateways; the first 100
+        self.violation_count = 0
         self.group: TaskGroup | None = None
         self.began = time.monotonic()
-        self.offset_ms = time.time_ns() // 1_000_000 - time.monotonic_ns() // 1_000_000
+        self.unix_offset_ms = time.time_ns() // 1_000_000 - time.monotonic_ns() // 1_000_000
         self.locations = (*(f"shop-{n + 1}" for n in range(shape.shops)), "hubs")
         self.nodes: dict[str, Node] = {}
         ids = iter(range(1, 1 << 20))
@@ -418,15 +455,18 @@
                 self.add(Node(self, next(ids), f"cache-{shop + 1}-{n + 1}", shape.cache, shop, n))
         for n in range(shape.hubs):
             self.add(Node(self, next(ids), f"hub-{n + 1}", shape.hub, shape.shops, n))
-        self.vault = Node(self, next(ids), "vault", shape.vault, shape.shops, 0)
-        self.add(self.vault)
-        self.bulletin = Bulletin(self)
-        self.drained: dict[str, float] = {}  # node and when the bulletin said that it leaves
-        # of each forward as it comes: where, its fields, the address that it came from
-        self.witness: Callable[[Node, dict[str, str], object], None] = lambda node, fields, sender: None
-        # seconds for which nothing passes from one node to another; of each fill who asked whom
+        self.origin = Node(self, next(ids), "vault", shape.vault, shape.shops, 0)
+        self.add(self.origin)
+        self.discovery = DiscoveryServer(self)
+        self.drained_at: dict[str, float] = {}  # by node: when discovery announced that it drains
+        # called for each forward received: node, fields, address of the gateway's connection
+        self.on_forward: Callable[[Node, dict[str, str], object], None] = lambda node, fields, peer_address: (
+            None
+        )
+        # returns the seconds for which nothing passes from one node to another
         self.held: Callable[[str, str], float] = lambda a, b: 0.0
-        self.filled: Callable[[Node, Node], None] = lambda asker, source: None
+        # called for each fill request: requester, source
+        self.on_fill: Callable[[Node, Node], None] = lambda requester, source: None
 
     def add(self, node: Node) -> None:
         self.nodes[node.name] = node
@@ -436,85 +476,87 @@
         return {node.uid: node for node in self.nodes.values()}
 
     def now(self) -> float:
-        """Seconds since the play began."""
+        """Returns the seconds since the start of the run."""
         return time.monotonic() - self.began
 
     def unix_ms(self) -> int:
-        return time.monotonic_ns() // 1_000_000 + self.offset_ms
+        return time.monotonic_ns() // 1_000_000 + self.unix_offset_ms
 
-    def fault(self, text: str) -> None:
-        self.fault_count += 1
+    def report_violation(self, text: str) -> None:
+        self.violation_count += 1
         if len(self.faults) < 100:
             self.faults.append(text)
 
-    def arrived(self, node: Node, fields: dict[str, str], sender: object) -> None:
-        """Truth about drains, seen where forwards arrive."""
-        self.witness(node, fields, sender)
+    def check_forward(self, node: Node, fields: dict[str, str], peer_address: object) -> None:
+        """Reports a forward that uses a draining node more than 1 s after its drain was announced."""
+        self.on_forward(node, fields, peer_address)
         named = self.by_uid.get(fields.get("fetch", node.uid), node)
-        for one in (node, named):
-            since = self.drained.get(one.name)
+        for target in (node, named):
+            since = self.drained_at.get(target.name)
             if since is not None and self.now() > since + 1.0:
-                self.fault(f"{one.name} was named {self.now() - since:.2f} s after it was to be left alone")
+                self.report_violation(
+                    f"{target.name} was used {self.now() - since:.2f} s after its drain was announced"
+                )
 
-    def bytes_of(self, key: Key, copy: Copy) -> bytes:
-        """An object's bytes tell what they are and of when, so that a client can check them."""
+    def content(self, key: Key, copy: Copy) -> bytes:
+        """Returns a copy's bytes, which repeat its key and time stamp, so that a client can check them."""
         text = f"{key[0]}/{key[1]}/{key[2]} {copy.stamp} ".encode()
         return (text * (copy.size // len(text) + 1))[: copy.size]
 
     async def open(self) -> None:
         for node in self.nodes.values():
             await node.listen()
-        await self.bulletin.listen()
-        self.bulletin.events.append(tuple(node.listed() for node in self.nodes.values()))
+        await self.discovery.listen()
+        self.discovery.events.append(tuple(node.list_entry() for node in self.nodes.values()))
 
     def start(self) -> None:
-        """The play's time begins."""
+        """Starts the time of the run."""
         self.began = time.monotonic()
 
-    def purge(self, thing: str, group: int) -> None:
+    def purge(self, object_id: str, group: int) -> None:
         issued = self.unix_ms()
-        self.bulletin.publish(wire.Purged(thing, group, issued))
+        self.discovery.publish(wire.Purged(object_id, group, issued))
         for node in self.nodes.values():
             asyncio.get_running_loop().call_later(
-                SETTLE * self.chance.random(), node.shelf.purge, thing, group, issued
+                SETTLE * self.rng.random(), node.shelf.purge, object_id, group, issued
             )
 
-    def tell_state(self, name: str, state: int) -> None:
+    def set_state(self, name: str, state: int) -> None:
         node = self.nodes[name]
         node.state = state
-        if state and name not in self.drained:
-            self.drained[name] = self.now()
+        if state and name not in self.drained_at:
+            self.drained_at[name] = self.now()
         elif not state:
-            self.drained.pop(name, None)
-        self.bulletin.publish((node.listed(),))
+            self.drained_at.pop(name, None)
+        self.discovery.publish((node.list_entry(),))
 
     async def run(self) -> None:
-        """Plays crashes and resets; never ends by itself."""
+        """Executes the scripted crashes and resets; runs until it is cancelled."""
         async with anyio.create_task_group() as self.group:
-            self.group.start_soon(self.bulletin.beat)
-            self.group.start_soon(self.play)
+            self.group.start_soon(self.discovery.send_heartbeats)
+            self.group.start_soon(self.run_faults)
 
-    async def play(self) -> None:
+    async def run_faults(self) -> None:
         edges = [*self.plan.edges("crash"), *self.plan.edges("reset")]
-        for when, fault, begins in sorted(edges, key=lambda edge: edge[0]):
+        for when, fault, starts in sorted(edges, key=lambda edge: edge[0]):
             await anyio.sleep(max(0.0, when - self.now()))
             node = self.nodes.get(fault.node)
             if node is None:
                 continue
             if fault.kind == "reset":
-                if begins:
+                if starts:
                     node.reset()
-            elif begins:
+            elif starts:
                 node.crash()
             else:
                 await node.restart()
-                self.bulletin.publish((node.listed(),))
+                self.discovery.publish((node.list_entry(),))
 
     def close(self) -> None:
         for node in self.nodes.values():
             node.crash()
-        for one in (self.bulletin, *self.bulletin.others):
-            if one.server is not None:
-                one.server.close()
-            for link in list(one.links):
-                link.end("stopped")
+        for server in (self.discovery, *self.discovery.per_gateway):
+            if server.server is not None:
+                server.server.close()
+            for connection in list(server.links):
+                connection.end("stopped")
--- a/damsonstream/standins/shelf.py
+++ b/damsonstream/standins/shelf.py
@@ -1,7 +1,7 @@
-"""What a cache, a hub or the vault holds and does, without sockets and without a clock of its own.
+"""The state of a stand-in cache, parent or origin, without I/O and without a clock of its own.
 
-How it is called: `Shelf` keeps copies of bounded size, drops the one used longest ago, knows purges, and
-counts effects of tokened GETs; `find()` says whether a copy will do. Times are Unix milliseconds.
+`CacheStore` is an LRU cache of bounded size that honours purges; `EffectLog` counts the effects of tokened
+GETs. Times are Unix milliseconds unless stated otherwise.
 """
 
 from __future__ import annotations
@@ -9,13 +9,15 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-PURGES = 4096  # remembered, against copies that were on their way
+MAX_REMEMBERED_PURGES = 4096  # against copies that were in transit when they were purged
 Key = tuple[str, str, str]  # delivery service, object, part
 
 
 @dataclass(slots=True, frozen=True)
 class Copy:
-    stamp: int  # when the origin gave it out
+    """A cached copy of an object's part."""
+
+    stamp: int  # when the origin served it
     size: int  # bytes
     group: int
 
@@ -25,17 +27,21 @@
 
 
 class Shelf:
-    def __init__(self, most: int) -> None:
-        self.most = most  # bytes
-        self.copies: OrderedDict[Key, Copy] = OrderedDict()  # the one used longest ago first
-        self.held = 0
+    """An LRU cache of copies, bounded in bytes."""
+
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes  # bytes
+        self.copies: OrderedDict[Key, Copy] = OrderedDict()  # least recently used first
+        self.used_bytes = 0
         self.hits = self.misses = 0
-        self.purges: OrderedDict[str | int, int] = OrderedDict()  # when issued; the oldest go first
+        self.purges: OrderedDict[str | int, int] = (
+            OrderedDict()
+        )  # object or group: when issued; the oldest are dropped first
 
-    def find(self, key: Key, now: int, newer: int) -> Copy | None:
-        """A copy that is `newer` milliseconds old at most; 0: as old as it likes, until it is purged."""
+    def find(self, key: Key, now: int, max_age: int) -> Copy | None:
+        """Returns the copy if it is at most `max_age` milliseconds old; 0: of any age."""
         copy = self.copies.get(key)
-        if copy is None or (newer and now - copy.stamp > newer):
+        if copy is None or (max_age and now - copy.stamp > max_age):
             self.misses += 1
             return None
         self.copies.move_to_end(key)
@@ -44,55 +50,55 @@
 
     def keep(self, key: Key, copy: Copy) -> None:
         purged = max(self.purges.get(key[1], 0), self.purges.get(copy.group, 0))
-        if copy.stamp < purged:  # it was on its way while it was purged
+        if copy.stamp < purged:  # it was in transit when it was purged
             return
         old = self.copies.pop(key, None)
-        self.held += copy.size - (old.size if old else 0)
+        self.used_bytes += copy.size - (old.size if old else 0)
         self.copies[key] = copy
-        while self.held > self.most and len(self.copies) > 1:
+        while self.used_bytes > self.max_bytes and len(self.copies) > 1:
             _, gone = self.copies.popitem(last=False)
-            self.held -= gone.size
+            self.used_bytes -= gone.size
 
-    def purge(self, thing: str, group: int, issued: int) -> int:
-        """Drops copies older than the purge; returns how many."""
-        self.purges[thing or group] = max(issued, self.purges.get(thing or group, 0))
-        while len(self.purges) > PURGES:
+    def purge(self, object_id: str, group: int, issued: int) -> int:
+        """Drops the copies older than the purge, and returns their number."""
+        self.purges[object_id or group] = max(issued, self.purges.get(object_id or group, 0))
+        while len(self.purges) > MAX_REMEMBERED_PURGES:
             self.purges.popitem(last=False)
-        gone = [
+        dropped = [
             key
             for key, copy in self.copies.items()
-            if copy.stamp < issued and (key[1] == thing if thing else copy.group == group)
+            if copy.stamp < issued and (key[1] == object_id if object_id else copy.group == group)
         ]
-        for key in gone:
-            self.held -= self.copies.pop(key).size
-        return len(gone)
+        for key in dropped:
+            self.used_bytes -= self.copies.pop(key).size
+        return len(dropped)
 
     def clear(self) -> None:
         self.copies.clear()
-        self.held = 0
+        self.used_bytes = 0
 
 
 class Effects:
-    """Runs of GETs that change something, by token: what rule 2 is about, seen where they run."""
+    """Records the effects of tokened GETs at the origin, to check rule 2 (no effect runs twice)."""
 
-    def __init__(self, remembered: float) -> None:
-        self.remembered = remembered  # seconds for which a token's repeat is known
-        self.seen: OrderedDict[str, float] = OrderedDict()  # token: when it ran; emptied by time
+    def __init__(self, memory_seconds: float) -> None:
+        self.memory_seconds = memory_seconds  # seconds for which a token is remembered
+        self.recent: OrderedDict[str, float] = OrderedDict()  # token: when it ran, in seconds; expires
         self.runs = 0
-        self.repeats = 0  # known as such, and not run again
-        self.doubles: list[str] = []  # tokens that ran twice: the rule is broken
-        self.ever: set[str] = set()  # all tokens of a play, which is short
+        self.repeats = 0  # recognized repeats, which did not run again
+        self.doubles: list[str] = []  # tokens that ran twice, in violation of the rule
+        self.all_tokens: set[str] = set()  # unbounded: a run is short
 
     def run(self, token: str, now: float) -> bool:
-        """Whether it runs; False: it is known to have run."""
-        while self.seen and next(iter(self.seen.values())) < now - self.remembered:
-            self.seen.popitem(last=False)
-        if token in self.seen:
+        """Runs a token's effect, unless it is remembered as run: then returns False. `now` is in seconds."""
+        while self.recent and next(iter(self.recent.values())) < now - self.memory_seconds:
+            self.recent.popitem(last=False)
+        if token in self.recent:
             self.repeats += 1
             return False
-        if token in self.ever:
+        if token in self.all_tokens:
             self.doubles.append(token)
-        self.seen[token] = now
-        self.ever.add(token)
+        self.recent[token] = now
+        self.all_tokens.add(token)
         self.runs += 1
         return True
--- a/damsonstream/standins/traffic.py
+++ b/damsonstream/standins/traffic.py
@@ -1,7 +1,7 @@
-"""What viewers ask for, and when. No I/O; all chance comes from the seed.
+"""The simulated workload: which objects viewers request, and when. No I/O; all randomness is seeded.
 
-How it is called: `Catalogue(offers, seed)` describes objects; `arrivals(...)` yields GETs in the order of
-their times, whatever becomes of them (open loop).
+`Catalogue(profiles, seed)` describes the objects; `arrivals(...)` yields GETs in the order of their times,
+independent of their outcomes (open loop).
 """
 
 from __future__ import annotations
@@ -13,26 +13,28 @@
 from hashlib import blake2b
 from itertools import accumulate
 
-GROUPS = 64  # groups of objects that a purge may name
+GROUPS = 64  # purge groups; each object belongs to one
 Key = tuple[str, str, str]
 
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """One delivery service as viewers use it."""
+    """The load on one delivery service."""
 
     name: str
     share: float  # of all GETs
     objects: int
-    skew: float  # of Zipf's law
-    size: int  # bytes, the median
-    patience_ms: int  # viewer timeout
+    skew: float  # exponent of the Zipf distribution
+    size: int  # median object size in bytes
+    patience_ms: int  # the viewer timeout in milliseconds
     tokened: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    at: float  # seconds since the play began
+    """A GET that a viewer is to send; `thing` is the object's id."""
+
+    at: float  # seconds since the start of the run
     viewer: int
     offer: Offer
     thing: str
@@ -41,45 +43,51 @@
 
 
 def number(*parts: object) -> int:
+    """Returns a 64-bit hash that is the same in every process."""
     return int.from_bytes(blake2b(repr(parts).encode(), digest_size=8).digest(), "big")
 
 
 class Catalogue:
-    def __init__(self, offers: tuple[Offer, ...], seed: int) -> None:
-        self.offers, self.seed = offers, seed
-        self.by_name = {offer.name: offer for offer in offers}
-        self.ranks = {
+    def __init__(self, profiles: tuple[Offer, ...], seed: int) -> None:
+        self.profiles, self.seed = profiles, seed
+        self.by_name = {profile.name: profile for profile in profiles}
+        self.cumulative_weights = {
             offer.name: list(accumulate((rank + 1) ** -offer.skew for rank in range(offer.objects)))
-            for offer in offers
+            for offer in profiles
         }
 
-    def thing(self, offer: Offer, rank: int) -> str:
-        return f"{number(self.seed, offer.name, rank):016x}"
+    def thing(self, profile: Offer, rank: int) -> str:
+        return f"{number(self.seed, profile.name, rank):016x}"
 
-    def group(self, thing: str) -> int:
-        return int(thing, 16) % GROUPS
+    def group(self, object_id: str) -> int:
+        return int(object_id, 16) % GROUPS
 
     def describe(self, key: Key) -> tuple[int, int]:
-        """Group and bytes of an object's part, the same whoever asks."""
-        offer = self.by_name.get(key[0])
-        spread = 0.5 + (number(key) % 1000) / 500  # half to two and a half times the median
-        return self.group(key[1]), int((offer.size if offer else 1000) * spread)
+        """Returns the purge group and the size in bytes of an object's part, both derived from its key."""
+        profile = self.by_name.get(key[0])
+        spread = 0.5 + (number(key) % 1000) / 500  # 0.5 to 2.5 times the median
+        return self.group(key[1]), int((profile.size if profile else 1000) * spread)
 
-    def draw(self, offer: Offer, chance: random.Random) -> str:
-        ranks = self.ranks[offer.name]
-        return self.thing(offer, bisect(ranks, chance.random() * ranks[-1]))
+    def draw(self, profile: Offer, rng: random.Random) -> str:
+        weights = self.cumulative_weights[profile.name]
+        return self.thing(profile, bisect(weights, rng.random() * weights[-1]))
 
 
 def arrivals(
-    catalogue: Catalogue, rate: Callable[[float], float], most: float, seconds: float, viewers: int, seed: int
+    catalogue: Catalogue,
+    rate: Callable[[float], float],
+    max_rate: float,
+    seconds: float,
+    viewers: int,
+    seed: int,
 ) -> Iterator[Arrival]:
-    """Poisson arrivals at `rate(at)` GETs a second, which is `most` at the most (thinning)."""
-    chance, at = random.Random(seed), 0.0
-    shares = list(accumulate(offer.share for offer in catalogue.offers))
-    while (at := at + chance.expovariate(most)) < seconds:
-        if chance.random() * most >= rate(at):
+    """Yields Poisson arrivals at `rate(at)` GETs per second, which is at most `max_rate` (thinning)."""
+    rng, at = random.Random(seed), 0.0
+    shares = list(accumulate(offer.share for offer in catalogue.profiles))
+    while (at := at + rng.expovariate(max_rate)) < seconds:
+        if rng.random() * max_rate >= rate(at):
             continue
-        offer = catalogue.offers[bisect(shares, chance.random() * shares[-1])]
-        token = f"{chance.getrandbits(128):032x}" if offer.tokened else ""
-        thing = catalogue.draw(offer, chance)
-        yield Arrival(at, chance.randrange(viewers), offer, thing, 0, token)
+        profile = catalogue.profiles[bisect(shares, rng.random() * shares[-1])]
+        token = f"{rng.getrandbits(128):032x}" if profile.tokened else ""
+        object_id = catalogue.draw(profile, rng)
+        yield Arrival(at, rng.randrange(viewers), profile, object_id, 0, token)
--- a/damsonstream/together/checks.py
+++ b/damsonstream/together/checks.py
@@ -1,8 +1,8 @@
-"""What a play of several processes has shown, against its bounds. No I/O.
+"""Evaluates the checks of a script against what was observed during its run. No I/O.
 
-How it is called: `judge(check, seen)` gives a `Verdict`. All is taken from what stand-ins, relays and
-viewers wrote down, none from what a gateway says of itself. Bounds hold on a busy machine: counts and
-shares over whole spans, no exact times.
+`evaluate_check(check, seen)` returns a `Verdict`. All measurements come from the logs of the stand-ins, the
+relays and the load generator; none from what a gateway reports about itself. Checks bound counts and shares
+over whole time spans rather than exact times, so that they also hold on a busy machine.
 """
 
 from __future__ import annotations
@@ -12,12 +12,15 @@
 
 from damsonstream.peers import wire
 
-AGREE_WITHIN = 2.0  # seconds for those that hear each other to agree on a zone
+AGREEMENT_SECONDS = 2.0  # within which gateways that can reach each other agree on the state of a zone
 
 
 @dataclass(slots=True, frozen=True)
 class Check:
-    """A bound on a figure: `of` a node or gateway (empty: all), over a span of the play's seconds."""
+    """A bound on one measurement of a node, zone or gateway (`of`; empty: all) over a time span of the run.
+
+    `start` and `end` are seconds since the start of the run; `least` and `most` are the bounds.
+    """
 
     name: str
     of: str
@@ -34,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Forwarded:
-    """A forward as it came: when, from which gateway, to which cache, and from where it is to be filled."""
+    """A forward as a cache received it: time, gateway, cache, and the source of its fill (or empty)."""
 
     at: float
     gateway: str
@@ -44,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tried:
-    """A viewer's GET: when it was sent, to which gateway, and how it ended."""
+    """A viewer's GET: the time it was sent, the gateway it was sent to, and its outcome."""
 
     at: float
     gateway: str
@@ -53,189 +56,199 @@
 
 @dataclass(slots=True, frozen=True)
 class Filled:
-    """A fill as its source was asked for it: when, by whom, of whom, and their zones, where they have any."""
+    """A fill request as its source received it: time, requester, source, and the zones of both (or empty)."""
 
     at: float
-    asker: str
+    requester: str
     source: str
-    home: str
-    zone: str
+    home_zone: str
+    source_zone: str
 
 
 @dataclass(slots=True)
 class Seen:
-    """What was written down in a play."""
+    """Everything that was logged during one run; times are seconds since its start."""
 
     names: list[str]
     fills: list[Filled] = field(default_factory=list)
-    zones: dict[int, str] = field(default_factory=dict)  # what a zone is called in datagrams
+    zones: dict[int, str] = field(default_factory=dict)  # zone name by its id in datagrams
     forwards: list[Forwarded] = field(default_factory=list)
     tries: list[Tried] = field(default_factory=list)
-    told: list[tuple[float, str, wire.Item]] = field(default_factory=list)  # when, by whom it was sent
-    datagrams: list[tuple[float, str, int]] = field(default_factory=list)  # when, by whom, bytes
-    opened: list[tuple[float, str, str]] = field(default_factory=list)  # connections: when, by whom, to whom
-    closed: list[tuple[float, str, str]] = field(default_factory=list)
-    known: dict[str, int] = field(default_factory=dict)  # what a node is called in datagrams
-    faults: list[str] = field(default_factory=list)
-
-    def named(self, check: Check) -> list[Forwarded]:
-        """Forwards in its span that went to a node, or named it as source."""
+    told: list[tuple[float, str, wire.Item]] = field(default_factory=list)  # time, sender, item
+    datagrams: list[tuple[float, str, int]] = field(default_factory=list)  # time, sender, bytes
+    opened: list[tuple[float, str, str]] = field(default_factory=list)  # connections: time, gateway, node
+    closed: list[tuple[float, str, str]] = field(default_factory=list)  # likewise
+    known: dict[str, int] = field(default_factory=dict)  # node's id in datagrams by its name
+    faults: list[str] = field(default_factory=list)  # protocol violations by gateways
+
+    def forwards_matching(self, check: Check) -> list[Forwarded]:
+        """Returns the forwards in the check's span that went to its node or named it as the source."""
         span = [one for one in self.forwards if check.start <= one.at < check.end]
         return [one for one in span if not check.of or check.of in (one.cache, one.source)]
 
-    def items(self, check: Check, kind: type[wire.Item]) -> list[tuple[str, wire.Item]]:
+    def messages_matching(self, check: Check, kind: type[wire.Item]) -> list[tuple[str, wire.Item]]:
         return [
             (by, item)
             for at, by, item in self.told
             if check.start <= at < check.end and isinstance(item, kind)
         ]
 
-    def ends(self, check: Check) -> list[Tried]:
+    def gets_matching(self, check: Check) -> list[Tried]:
         return [t for t in self.tries if check.start <= t.at < check.end and check.of in ("", t.gateway)]
 
 
-def asked(check: Check, seen: Seen) -> float:
-    return len(seen.named(check))
+def forward_count(check: Check, seen: Seen) -> float:
+    return len(seen.forwards_matching(check))
 
 
-def asked_by(check: Check, seen: Seen) -> float:
-    return len({forward.gateway for forward in seen.named(check)})
+def forwarding_gateways(check: Check, seen: Seen) -> float:
+    return len({forward.gateway for forward in seen.forwards_matching(check)})
 
 
-def asked_a_second(check: Check, seen: Seen) -> float:
-    return most_in_a_second(sorted(forward.at for forward in seen.named(check)))
+def peak_forwards(check: Check, seen: Seen) -> float:
+    return peak_per_second(sorted(forward.at for forward in seen.forwards_matching(check)))
 
 
-def spills(check: Check, seen: Seen) -> list[Filled]:
-    """Fills in its span that a zone's hubs were asked for by caches of another one."""
-    return [one for one in seen.fills if check.start <= one.at < check.end and one.home and one.zone
-            and one.home != one.zone and check.of in ("", one.zone)]  # fmt: skip
+def spilled_fills(check: Check, seen: Seen) -> list[Filled]:
+    """Returns the fills in the check's span that parents of a zone received from caches of another zone."""
+    return [one for one in seen.fills if check.start <= one.at < check.end
+            and one.home_zone and one.source_zone and one.home_zone != one.source_zone
+            and check.of in ("", one.source_zone)]  # fmt: skip
 
 
-def most_in_a_second(times: list[float]) -> float:
-    most, first = 0, 0
+def peak_per_second(times: list[float]) -> float:
+    maximum, first = 0, 0
     for last, at in enumerate(sorted(times)):
         while times[first] <= at - 1.0:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        maximum = max(maximum, last - first + 1)
+    return maximum
 
 
-def spill_a_second(check: Check, seen: Seen) -> float:
-    """The most fills in a second that came into a zone from others."""
-    return most_in_a_second(sorted(one.at for one in spills(check, seen)))
+def peak_spilled_fills(check: Check, seen: Seen) -> float:
+    """Returns the largest number of fills per second that a zone received from other zones."""
+    return peak_per_second(sorted(one.at for one in spilled_fills(check, seen)))
 
 
-def spilt(check: Check, seen: Seen) -> float:
-    return len(spills(check, seen))
+def spilled_fill_count(check: Check, seen: Seen) -> float:
+    return len(spilled_fills(check, seen))
 
 
-def fills_a_second(check: Check, seen: Seen) -> float:
-    """The most fills in a second that a node, or all hubs of a zone, were asked for."""
-    return most_in_a_second(sorted(one.at for one in seen.fills if check.start <= one.at < check.end
-                                   and check.of in ("", one.source, one.zone)))  # fmt: skip
+def peak_fills(check: Check, seen: Seen) -> float:
+    """Returns the largest number of fills per second requested from a node or from all parents of a zone."""
+    return peak_per_second(sorted(one.at for one in seen.fills if check.start <= one.at < check.end
+                                   and check.of in ("", one.source, one.source_zone)))  # fmt: skip
 
 
-def direct_a_second(check: Check, seen: Seen) -> float:
-    """The most fills in a second that caches (of a zone) asked of the vault, past all hubs."""
-    return most_in_a_second(sorted(one.at for one in seen.fills if check.start <= one.at < check.end
-                                   and one.home and not one.zone and one.asker.startswith("cache")
-                                   and check.of in ("", one.home)))  # fmt: skip
+def peak_direct_fills(check: Check, seen: Seen) -> float:
+    """Returns the largest number of fills per second from caches (of a zone) directly to the origin."""
+    return peak_per_second(sorted(one.at for one in seen.fills if check.start <= one.at < check.end
+                                   and one.home_zone and not one.source_zone
+                                   and one.requester.startswith("cache")
+                                   and check.of in ("", one.home_zone)))  # fmt: skip
 
 
-def fills(check: Check, seen: Seen) -> float:
-    return sum(check.start <= one.at < check.end and check.of in ("", one.source, one.zone)
+def fill_count(check: Check, seen: Seen) -> float:
+    return sum(check.start <= one.at < check.end and check.of in ("", one.source, one.source_zone)
                for one in seen.fills)  # fmt: skip
 
 
-def near(check: Check, seen: Seen) -> float:
-    """Share of the fills that a zone's caches (of all: any cache's) asked of hubs, which its own were asked
-    for."""
-    asked = [one for one in seen.fills if check.start <= one.at < check.end and one.home and one.zone
-             and check.of in ("", one.home) and one.asker.startswith("cache")]  # fmt: skip
-    return sum(one.home == one.zone for one in asked) / len(asked) if asked else 0.0
+def local_fill_share(check: Check, seen: Seen) -> float:
+    """Returns the share of fills from parents (by caches of the zone, or of all) that stayed in the zone."""
+    requested = [one for one in seen.fills if check.start <= one.at < check.end
+                 and one.home_zone and one.source_zone
+                 and check.of in ("", one.home_zone) and one.requester.startswith("cache")]  # fmt: skip
+    return sum(one.home_zone == one.source_zone for one in requested) / len(requested) if requested else 0.0
+
 
+def reports_by_gateway(check: Check, seen: Seen, state: int) -> dict[int, float]:
+    """Returns when each gateway (by index) first reported the zone to be in a state.
 
-def verdicts(check: Check, seen: Seen, state: int) -> dict[int, float]:
-    """When each gateway first told that a zone is in that state, in its first epoch within the span."""
-    told: dict[int, dict[int, float]] = {}
+    Only the first epoch in which the state was reported within the span is considered.
+    """
+    reported: dict[int, dict[int, float]] = {}
     for at, by, item in seen.told:
-        if check.start <= at < check.end and isinstance(item, wire.Zone) and item.state == state \
-                and seen.zones.get(item.zone) == check.of:  # fmt: skip
-            told.setdefault(item.epoch, {}).setdefault(seen.names.index(by), at)
-    return told[min(told)] if told else {}
+        if check.start <= at < check.end and isinstance(item, wire.Zone) \
+                and item.state == state and seen.zones.get(item.zone) == check.of:  # fmt: skip
+            reported.setdefault(item.epoch, {}).setdefault(seen.names.index(by), at)
+    return reported[min(reported)] if reported else {}
 
 
-def told_lost(check: Check, seen: Seen) -> float:
-    """Gateways that told of a zone's loss within two seconds of the first of them."""
-    when = verdicts(check, seen, 2)
-    return sum(at - min(when.values()) <= AGREE_WITHIN for at in when.values())
+def gateways_agreeing_on_loss(check: Check, seen: Seen) -> float:
+    """Counts the gateways that reported a zone lost within AGREEMENT_SECONDS of the first report."""
+    report_times = reports_by_gateway(check, seen, 2)
+    return sum(at - min(report_times.values()) <= AGREEMENT_SECONDS for at in report_times.values())
 
 
-def losses(check: Check, seen: Seen) -> float:
-    """Different losses of a zone that anyone told of."""
-    return len({item.epoch for _, item in seen.items(check, wire.Zone) if isinstance(item, wire.Zone)
-                and seen.zones.get(item.zone) == check.of and item.state == 2})  # fmt: skip
+def zone_loss_count(check: Check, seen: Seen) -> float:
+    """Counts the distinct losses of a zone (by epoch) that any gateway reported."""
+    return len({item.epoch for _, item in seen.messages_matching(check, wire.Zone)
+                if isinstance(item, wire.Zone) and seen.zones.get(item.zone) == check.of
+                and item.state == 2})  # fmt: skip
 
 
-def changes(check: Check, seen: Seen) -> float:
-    """Different verdicts on a zone that anyone told of."""
-    return len({(item.epoch, item.step) for _, item in seen.items(check, wire.Zone)
+def zone_change_count(check: Check, seen: Seen) -> float:
+    """Counts the distinct state changes of a zone that any gateway reported."""
+    return len({(item.epoch, item.step) for _, item in seen.messages_matching(check, wire.Zone)
                 if isinstance(item, wire.Zone) and seen.zones.get(item.zone) == check.of})  # fmt: skip
 
 
-def share(outcome: str) -> Callable[[Check, Seen], float]:
-    def count(check: Check, seen: Seen) -> float:
-        ends = seen.ends(check)
-        return sum(one.outcome == outcome for one in ends) / len(ends) if ends else 0.0
+def outcome_share(outcome: str) -> Callable[[Check, Seen], float]:
+    def measure(check: Check, seen: Seen) -> float:
+        gets = seen.gets_matching(check)
+        return sum(one.outcome == outcome for one in gets) / len(gets) if gets else 0.0
 
-    return count
+    return measure
 
 
-def number(check: Check, seen: Seen) -> float:
-    return len(seen.ends(check))
+def get_count(check: Check, seen: Seen) -> float:
+    return len(seen.gets_matching(check))
 
 
-def doubted_by(check: Check, seen: Seen) -> float:
-    """Gateways that said they no longer hear it."""
-    place = seen.names.index(check.of) if check.of else -1
-    return len({item.by for _, item in seen.items(check, wire.Doubt)
-                if isinstance(item, wire.Doubt) and item.of == place})  # fmt: skip
+def suspecting_gateways(check: Check, seen: Seen) -> float:
+    """Counts the gateways that reported that they no longer receive messages from the checked gateway."""
+    index = seen.names.index(check.of) if check.of else -1
+    return len({item.by for _, item in seen.messages_matching(check, wire.Doubt)
+                if isinstance(item, wire.Doubt) and item.of == index})  # fmt: skip
 
 
-def others_doubted(check: Check, seen: Seen) -> float:
-    """Other gateways that two or more no longer hear."""
-    doubts: dict[int, set[int]] = {}
-    for _, item in seen.items(check, wire.Doubt):
+def other_suspected_gateways(check: Check, seen: Seen) -> float:
+    """Counts the other gateways that were suspected by two or more gateways."""
+    suspicions: dict[int, set[int]] = {}
+    for _, item in seen.messages_matching(check, wire.Doubt):
         if isinstance(item, wire.Doubt) and seen.names[item.of] != check.of:
-            doubts.setdefault(item.of, set()).add(item.by)
-    return sum(len(by) > 1 for by in doubts.values())
+            suspicions.setdefault(item.of, set()).add(item.by)
+    return sum(len(by) > 1 for by in suspicions.values())
 
 
-def tried_by(check: Check, seen: Seen) -> float:
-    """Gateways that told of a trial of it."""
-    return len({item.by for _, item in seen.items(check, wire.Trial)
+def trialling_gateways(check: Check, seen: Seen) -> float:
+    """Counts the gateways that announced a trial of the source."""
+    return len({item.by for _, item in seen.messages_matching(check, wire.Trial)
                 if isinstance(item, wire.Trial) and item.source == seen.known.get(check.of)})  # fmt: skip
 
 
-def sources_tried(check: Check, seen: Seen) -> float:
-    """Different sources of which one gateway told a trial, of the one that tried most."""
-    tried: dict[int, set[int]] = {}
-    for _, item in seen.items(check, wire.Trial):
+def max_sources_trialled(check: Check, seen: Seen) -> float:
+    """Returns the largest number of distinct sources of which one gateway announced trials."""
+    trialled: dict[int, set[int]] = {}
+    for _, item in seen.messages_matching(check, wire.Trial):
         if isinstance(item, wire.Trial):
-            tried.setdefault(item.by, set()).add(item.source)
-    return max((len(sources) for sources in tried.values()), default=0)
+            trialled.setdefault(item.by, set()).add(item.source)
+    return max((len(sources) for sources in trialled.values()), default=0)
 
 
-def lent(check: Check, seen: Seen) -> float:
-    """Leases that were granted, counted once each."""
+def lease_count(check: Check, seen: Seen) -> float:
+    """Counts the granted leases, each once."""
     return len(
-        {(by, item.lease) for by, item in seen.items(check, wire.Grant) if isinstance(item, wire.Grant)}
+        {
+            (by, item.lease)
+            for by, item in seen.messages_matching(check, wire.Grant)
+            if isinstance(item, wire.Grant)
+        }
     )
 
 
-def datagram_bytes(check: Check, seen: Seen) -> float:
-    """Bytes a second that one gateway sent, the mean of the span; of one, or of the one that sent most."""
+def mean_bytes_per_second(check: Check, seen: Seen) -> float:
+    """Returns the mean bytes per second that a gateway sent to its peers, or the gateway that sent most."""
     totals: dict[str, int] = {}
     for at, by, size in seen.datagrams:
         if check.start <= at < check.end and check.of in ("", by):
@@ -243,12 +256,12 @@
     return max(totals.values(), default=0) / max(0.001, check.end - check.start)
 
 
-def connections(check: Check, seen: Seen) -> float:
+def connection_count(check: Check, seen: Seen) -> float:
     return sum(check.start <= at < check.end and check.of in ("", b) for at, _, b in seen.opened)
 
 
-def held(check: Check, seen: Seen) -> float:
-    """Connections that gateways hold to a node, the mean of the span; of the cache that has most."""
+def mean_open_connections(check: Check, seen: Seen) -> float:
+    """Returns the mean number of open connections to a node, or to the cache that has most."""
     totals: dict[str, float] = {}
     for ends, sign in ((seen.opened, 1.0), (seen.closed, -1.0)):
         for at, _, b in ends:
@@ -258,36 +271,38 @@
 
 
 CHECKS: dict[str, Callable[[Check, Seen], float]] = {
-    "asked": asked,
-    "asked-by": asked_by,
-    "asked-a-second": asked_a_second,
-    "returned": share("returned"),
-    "shed": share("shed"),
-    "errored": share("errored"),
-    "late": share("late"),
-    "gets": number,
-    "doubted-by": doubted_by,
-    "others-doubted": others_doubted,
-    "tried-by": tried_by,
-    "sources-tried": sources_tried,
-    "lent": lent,
-    "bytes": datagram_bytes,
-    "near": near,
-    "spilt": spilt,
-    "spill-a-second": spill_a_second,
-    "direct-a-second": direct_a_second,
-    "fills": fills,
-    "fills-a-second": fills_a_second,
-    "told-lost": told_lost,
-    "losses": losses,
-    "changes": changes,
-    "connections": connections,
-    "held": held,
+    "asked": forward_count,
+    "asked-by": forwarding_gateways,
+    "asked-a-second": peak_forwards,
+    "returned": outcome_share("returned"),
+    "shed": outcome_share("shed"),
+    "errored": outcome_share("errored"),
+    "late": outcome_share("late"),
+    "gets": get_count,
+    "doubted-by": suspecting_gateways,
+    "others-doubted": other_suspected_gateways,
+    "tried-by": trialling_gateways,
+    "sources-tried": max_sources_trialled,
+    "lent": lease_count,
+    "bytes": mean_bytes_per_second,
+    "near": local_fill_share,
+    "spilt": spilled_fill_count,
+    "spill-a-second": peak_spilled_fills,
+    "direct-a-second": peak_direct_fills,
+    "fills": fill_count,
+    "fills-a-second": peak_fills,
+    "told-lost": gateways_agreeing_on_loss,
+    "losses": zone_loss_count,
+    "changes": zone_change_count,
+    "connections": connection_count,
+    "held": mean_open_connections,
 }
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
+    """The result of one check, as the JSON output holds it; `seen` is the measured value."""
+
     name: str
     bound: str
     seen: float
@@ -295,17 +310,17 @@
 
 
 def judge(check: Check, seen: Seen) -> Verdict:
-    figure = CHECKS[check.name](check, seen)
-    kept = (check.least is None or figure >= check.least) and (check.most is None or figure <= check.most)
+    measured = CHECKS[check.name](check, seen)
+    kept = (check.least is None or measured >= check.least) and (check.most is None or measured <= check.most)
     name = f"{check.name} {check.of or 'all'} {check.start:g} to {check.end:g} s"
-    return Verdict(name, check.bound(), round(figure, 4), kept)
+    return Verdict(name, check.bound(), round(measured, 4), kept)
 
 
 def told(seen: Seen) -> list[str]:
-    """The first few of what stand-ins saw that is not allowed."""
+    """Returns the first three protocol violations that stand-ins observed."""
     return seen.faults[:3]
 
 
-def always(seen: Seen) -> Verdict:
-    """What holds in every play: nothing that the protocol forbids, no effect twice."""
+def violations_verdict(seen: Seen) -> Verdict:
+    """Returns the verdict that every run includes: no protocol violation, and no effect that ran twice."""
     return Verdict("faults that stand-ins saw", "most 0", len(seen.faults), not seen.faults)
--- a/damsonstream/together/links.py
+++ b/damsonstream/together/links.py
@@ -1,8 +1,8 @@
-"""How the links between processes are at one time of a script. No I/O.
+"""The scripted condition of the network links between processes at a given time. No I/O.
 
-How it is called: `Links(faults)` is asked `between(a, b, at)` for the condition of what goes from a to b; `a`
-and `b` are names of gateways, caches, hubs, the vault or `bulletin`. `at` is seconds since the play began.
-Faults on one link add up: delays are summed, of shares the largest holds.
+`Links(faults).condition(a, b, at)` returns the condition of the link from `a` to `b`. These are names of
+gateways, caches, parents (`hub-1`), the origin (`vault`) or the discovery service (`bulletin`); `at` is
+seconds since the start of the run. Faults of one link combine: delays add up, and the largest share applies.
 """
 
 from __future__ import annotations
@@ -11,13 +11,20 @@
 from dataclasses import dataclass
 
 KINDS = ("cut", "one-way", "split", "drop", "delay", "jitter", "repeat", "hold", "break")
-SHARES = ("drop", "repeat")  # whose amount is a share; delay and jitter are milliseconds
+SHARE_KINDS = (
+    "drop",
+    "repeat",
+)  # their amount is a share from 0 to 1; that of delay and jitter is milliseconds
 
 
 @dataclass(slots=True, frozen=True)
 class LinkFault:
-    """`groups`: of cut and split what is kept apart, each from each other; of the rest from whom and to whom.
-    An empty group is everyone. `break` resets what is open as it begins, and lets nothing new through."""
+    """One scripted fault of links.
+
+    The `groups` of cut, split and break are separated from each other (a single group: from everyone); the
+    groups of all other kinds are the senders and the receivers, where an empty group means everyone. `break`
+    resets the open connections when it starts and prevents new ones until it ends.
+    """
 
     kind: str
     start: float
@@ -31,58 +38,58 @@
 
     def meets(self, a: str, b: str) -> bool:
         if self.kind in ("cut", "split", "break"):
-            where = [n for n, group in enumerate(self.groups) if a in group]
-            there = [n for n, group in enumerate(self.groups) if b in group]
+            a_groups = [n for n, group in enumerate(self.groups) if a in group]
+            b_groups = [n for n, group in enumerate(self.groups) if b in group]
             if self.kind == "split" or len(self.groups) > 1:
-                return bool(where and there and where != there)
-            return bool(where) or bool(there)  # one group: cut off from everyone
-        first, second = self.groups
-        return (not first or a in first) and (not second or b in second)
+                return bool(a_groups and b_groups and a_groups != b_groups)
+            return bool(a_groups) or bool(b_groups)  # a single group is cut off from everyone
+        senders, receivers = self.groups
+        return (not senders or a in senders) and (not receivers or b in receivers)
 
 
 @dataclass(slots=True, frozen=True)
-class Way:
-    """What happens to what goes one way; times in seconds."""
+class LinkCondition:
+    """The condition of a link in one direction; times in seconds, `drop` and `repeat` as shares."""
 
-    cut: float = 0.0  # until when nothing passes; of a stream it goes on then, as what is sent again does
+    cut: float = 0.0  # time until which nothing passes; a stream then continues, like after retransmission
     drop: float = 0.0
     delay: float = 0.0
     jitter: float = 0.0
     repeat: float = 0.0
-    hold: float = 0.0  # until when it is held back, 0: it is not
+    hold: float = 0.0  # time until which messages are held back; 0: they are not
     broken: bool = False
 
 
-CLEAR = Way()
+CLEAR = LinkCondition()
 
 
 class Links:
     def __init__(self, faults: Iterable[LinkFault] = ()) -> None:
         self.faults = sorted(faults, key=lambda fault: (fault.start, fault.kind))
 
-    def between(self, a: str, b: str, at: float) -> Way:
+    def between(self, a: str, b: str, at: float) -> LinkCondition:
         faults = [fault for fault in self.faults if fault.start <= at < fault.end and fault.meets(a, b)]
         if not faults:
             return CLEAR
 
-        def most(kind: str) -> float:
+        def maximum(kind: str) -> float:
             return max((fault.amount for fault in faults if fault.kind == kind), default=0.0)
 
         def total(kind: str) -> float:
             return sum(fault.amount / 1000 for fault in faults if fault.kind == kind)
 
-        return Way(
+        return LinkCondition(
             cut=max((f.end for f in faults if f.kind in ("cut", "one-way", "split")), default=0.0),
-            drop=most("drop"), delay=total("delay"), jitter=total("jitter"), repeat=most("repeat"),
+            drop=maximum("drop"), delay=total("delay"), jitter=total("jitter"), repeat=maximum("repeat"),
             hold=max((fault.end for fault in faults if fault.kind == "hold"), default=0.0),
             broken=any(fault.kind == "break" for fault in faults),
         )  # fmt: skip
 
     def held(self, a: str, b: str, at: float) -> float:
-        """Seconds for which nothing passes between two nodes."""
-        way = self.between(a, b, at)
-        return max(way.delay, way.cut - at if way.cut else 0.0)
+        """Returns the seconds for which nothing passes from `a` to `b`, at least the delay of the link."""
+        condition = self.between(a, b, at)
+        return max(condition.delay, condition.cut - at if condition.cut else 0.0)
 
-    def breaks(self, a: str, b: str) -> list[float]:
-        """When what is open between them is reset."""
+    def reset_times(self, a: str, b: str) -> list[float]:
+        """Returns the times at which the open connections between them are reset."""
         return [fault.start for fault in self.faults if fault.kind == "break" and fault.meets(a, b)]
--- a/damsonstream/together/relay.py
+++ b/damsonstream/together/relay.py
@@ -1,9 +1,10 @@
-"""Relays on every path between processes, on loopback: datagrams between gateways, streams to caches and to
-the bulletin. What a script says of a link happens here, and what passes is written down.
+"""Relays on every network path between processes, on loopback. They apply the scripted faults of the links
+and log what passes.
 
-How it is called: `Datagrams(names, links, clock, chance)` with `await open(real)`, where `real` are the
-gateways' own addresses; `seen_by(name)` is the list of peers as that gateway is to be told it. `Stream(a, b,
-target, ...)` stands before one listener for one gateway. All chance comes from the seed.
+`DatagramRelay` passes on datagrams between gateways: after `await open(gateway_addresses)`,
+`peer_addresses(name)` are the addresses that a gateway is configured with for its peers. A `StreamRelay`
+passes on the TCP connections of one gateway to one node or to the discovery service. All randomness comes
+from the seed.
 """
 
 from __future__ import annotations
@@ -19,27 +20,30 @@
 from damsonstream.standins.servers import LOOPBACK
 from damsonstream.together.links import Links
 
-KEPT = 200_000  # log entries of a play, which is short: the oldest go first
-HELD = 4096  # datagrams or pieces held back on one link
+MAX_LOG_ENTRIES = 200_000  # a run is short; the oldest entries are dropped first
+MAX_BUFFERED_CHUNKS = 4096  # per connection, until its other end is open
 Address = tuple[str, int]
 
 
 @dataclass(slots=True, frozen=True)
-class Passed:
-    """One datagram that was sent: when, by whom, to whom, its bytes, whether it went on."""
+class RelayedDatagram:
+    """A datagram that a gateway sent, and whether the relay delivered it."""
 
     at: float
     a: str
-    b: str
+    receiver: str
     data: bytes
-    arrived: bool
+    delivered: bool
 
 
-class Socket(asyncio.DatagramProtocol):
-    """Where `a` sends what is for `b`; what `b` sends to `a` comes from here."""
+class RelaySocket(asyncio.DatagramProtocol):
+    """The socket to which the sender sends its datagrams for the receiver.
 
-    def __init__(self, relay: Datagrams, a: str, b: str) -> None:
-        self.relay, self.a, self.b = relay, a, b
+    Datagrams in the opposite direction are sent from it, so that each gateway has one address per peer.
+    """
+
+    def __init__(self, relay: DatagramRelay, sender: str, receiver: str) -> None:
+        self.relay, self.a, self.receiver = relay, sender, receiver
         self.transport: asyncio.DatagramTransport | None = None
         self.address: Address = (LOOPBACK, 0)
 
@@ -48,172 +52,190 @@
         self.address = transport.get_extra_info("sockname")
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
-        self.relay.took(self.a, self.b, data)
+        self.relay.relay(self.a, self.receiver, data)
+
 
+class DatagramRelay:
+    """Relays datagrams between all pairs of gateways, with one socket for each pair and direction."""
 
-class Datagrams:
     def __init__(
-        self, names: list[str], links: Links, clock: Callable[[], float], chance: random.Random
+        self, names: list[str], links: Links, clock: Callable[[], float], rng: random.Random
     ) -> None:
-        self.names, self.links, self.clock, self.chance = names, links, clock, chance
-        self.sockets: dict[tuple[str, str], Socket] = {}
-        self.real: dict[str, Address] = {}
-        self.log: deque[Passed] = deque(maxlen=KEPT)
+        self.names, self.links, self.clock, self.rng = names, links, clock, rng
+        self.sockets: dict[tuple[str, str], RelaySocket] = {}
+        self.gateway_addresses: dict[str, Address] = {}
+        self.log: deque[RelayedDatagram] = deque(maxlen=MAX_LOG_ENTRIES)
 
-    async def open(self, real: dict[str, Address]) -> None:
-        self.real = real
+    async def open(self, gateway_addresses: dict[str, Address]) -> None:
+        self.gateway_addresses = gateway_addresses
         loop = asyncio.get_running_loop()
         for a in self.names:
             for b in self.names:
                 if a != b:
-                    one = Socket(self, a, b)
-                    await loop.create_datagram_endpoint(lambda one=one: one, local_addr=(LOOPBACK, 0))  # type: ignore[misc]
-                    self.sockets[a, b] = one
+                    socket = RelaySocket(self, a, b)
+                    await loop.create_datagram_endpoint(lambda one=socket: one, local_addr=(LOOPBACK, 0))  # type: ignore[misc]
+                    self.sockets[a, b] = socket
 
-    def seen_by(self, name: str) -> list[str]:
-        """Addresses of all gateways, by their numbers, as this one reaches them."""
+    def peer_addresses(self, name: str) -> list[str]:
+        """Returns the addresses of all gateways in order, as the given gateway reaches them."""
         found = []
         for other in self.names:
-            host, port = self.real[name] if other == name else self.sockets[name, other].address
+            host, port = self.gateway_addresses[name] if other == name else self.sockets[name, other].address
             found.append(f"{host}:{port}")
         return found
 
-    def took(self, a: str, b: str, data: bytes) -> None:
-        at = self.clock()
-        way = self.links.between(a, b, at)
-        lost = way.cut > 0 or way.broken or self.chance.random() < way.drop
-        self.log.append(Passed(at, a, b, data, not lost))
+    def relay(self, sender: str, receiver: str, data: bytes) -> None:
+        now = self.clock()
+        condition = self.links.between(sender, receiver, now)
+        lost = condition.cut > 0 or condition.broken or self.rng.random() < condition.drop
+        self.log.append(RelayedDatagram(now, sender, receiver, data, not lost))
         if lost:
             return
-        copies = 2 if self.chance.random() < way.repeat else 1
+        copies = 2 if self.rng.random() < condition.repeat else 1
         for _ in range(copies):
-            wait = max(way.delay, way.hold - at) + way.jitter * self.chance.random()
-            if wait > 0:
-                asyncio.get_running_loop().call_later(wait, self.hand_on, a, b, data)
+            delay = max(condition.delay, condition.hold - now) + condition.jitter * self.rng.random()
+            if delay > 0:
+                asyncio.get_running_loop().call_later(delay, self.deliver, sender, receiver, data)
             else:
-                self.hand_on(a, b, data)
+                self.deliver(sender, receiver, data)
 
-    def hand_on(self, a: str, b: str, data: bytes) -> None:
-        back = self.sockets[b, a].transport  # from where b knows a
-        if back is not None and not back.is_closing():
-            back.sendto(data, self.real[b])
+    def deliver(self, sender: str, receiver: str, data: bytes) -> None:
+        transport = self.sockets[
+            receiver, sender
+        ].transport  # its address is the one that the receiver knows the sender by
+        if transport is not None and not transport.is_closing():
+            transport.sendto(data, self.gateway_addresses[receiver])
 
-    def items(self, start: float = 0.0) -> list[tuple[Passed, wire.Item]]:
-        """What gateways told one another, item by item."""
+    def items(self, start: float = 0.0) -> list[tuple[RelayedDatagram, wire.Item]]:
+        """Returns the items of all logged datagrams that could be decoded."""
         found = []
-        for passed in self.log:
-            if passed.at >= start:
+        for datagram in self.log:
+            if datagram.at >= start:
                 try:
-                    found += [(passed, item) for item in wire.read(passed.data).items]
+                    found += [(datagram, item) for item in wire.read(datagram.data).items]
                 except wire.Unreadable:
                     continue
         return found
 
     def close(self) -> None:
-        for one in self.sockets.values():
-            if one.transport is not None:
-                one.transport.close()
+        for socket in self.sockets.values():
+            if socket.transport is not None:
+                socket.transport.close()
 
 
-class End(asyncio.Protocol):
-    """One end of a stream that is passed on; `way` tells how, and from which side."""
+class StreamEnd(asyncio.Protocol):
+    """One of the two connections of a relayed stream: to the gateway (`from_gateway`) or to the target."""
 
-    def __init__(self, stream: Stream, forth: bool, other: End | None = None) -> None:
-        self.stream, self.forth, self.other = stream, forth, other
+    def __init__(self, stream: StreamRelay, from_gateway: bool, peer: StreamEnd | None = None) -> None:
+        self.stream, self.from_gateway, self.peer = stream, from_gateway, peer
         self.transport: asyncio.Transport | None = None
-        self.early: list[bytes] = []  # until the other end is up; bounded by HELD pieces
-        self.due = 0.0  # when the last piece goes on: none overtakes another
+        self.buffered: list[bytes] = []  # until the connection is open; at most MAX_BUFFERED_CHUNKS
+        self.next_send_at = 0.0  # time at which the last chunk is sent: chunks stay in order
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.stream.ends.add(self)
-        if not self.forth:
-            self.stream.out.add(transport.get_extra_info("sockname"))
-            for data in self.early:  # before anything that comes later
+        if not self.from_gateway:
+            self.stream.outgoing_addresses.add(transport.get_extra_info("sockname"))
+            for data in self.buffered:  # before any later data
                 self.transport.write(data)
-            self.early.clear()
+            self.buffered.clear()
         else:
-            self.stream.opened.append(self.stream.clock())
-            self.stream.connect(self)
+            self.stream.opened_at.append(self.stream.clock())
+            self.stream.connect_target(self)
 
     def data_received(self, data: bytes) -> None:
-        self.stream.pass_on(self, data)
+        self.stream.relay(self, data)
 
     def connection_lost(self, fault: Exception | None) -> None:
         self.stream.ends.discard(self)
-        if self.forth:
-            self.stream.closed.append(self.stream.clock())
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.abort() if fault else self.other.transport.close()
+        if self.from_gateway:
+            self.stream.closed_at.append(self.stream.clock())
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.abort() if fault else self.peer.transport.close()
 
     def write(self, data: bytes) -> None:
         if self.transport is None:
-            if len(self.early) < HELD:
-                self.early.append(data)
+            if len(self.buffered) < MAX_BUFFERED_CHUNKS:
+                self.buffered.append(data)
         elif not self.transport.is_closing():
             self.transport.write(data)
 
 
-class Stream:
-    """A listener for one gateway before one other party."""
+class StreamRelay:
+    """Listens for the connections of one gateway to one target, and relays them."""
 
     def __init__(
-        self, a: str, b: str, target: Callable[[], Address], links: Links, clock: Callable[[], float],
-        chance: random.Random,
+        self, gateway: str, target_name: str, target: Callable[[], Address], links: Links,
+        clock: Callable[[], float], rng: random.Random,
     ) -> None:  # fmt: skip
-        self.a, self.b, self.target, self.links, self.clock, self.chance = a, b, target, links, clock, chance
-        self.ends: set[End] = set()
-        self.opened: list[float] = []  # when the gateway opened each connection
-        self.closed: list[float] = []  # and when each ended
-        self.out: set[Address] = set()  # from where the other party has seen this gateway come
-        self.tasks: set[asyncio.Task[None]] = set()  # connections under way
+        self.a, self.target_name, self.target, self.links, self.clock, self.rng = (
+            gateway,
+            target_name,
+            target,
+            links,
+            clock,
+            rng,
+        )
+        self.ends: set[StreamEnd] = set()
+        self.opened_at: list[float] = []  # times at which the gateway opened connections
+        self.closed_at: list[float] = []  # times at which they ended
+        self.outgoing_addresses: set[Address] = set()  # local addresses of the connections to the target
+        self.tasks: set[asyncio.Task[None]] = set()  # connections being opened
         self.server: asyncio.Server | None = None
         self.address: Address = (LOOPBACK, 0)
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: End(self, True), LOOPBACK, 0)
+        self.server = await loop.create_server(lambda: StreamEnd(self, True), LOOPBACK, 0)
         self.address = self.server.sockets[0].getsockname()
 
-    def arm(self) -> None:
-        """The play's time begins: what breaks is reset at its time."""
+    def schedule_resets(self) -> None:
+        """Schedules the scripted connection resets; called when the time of the run starts."""
         loop = asyncio.get_running_loop()
-        for when in self.links.breaks(self.a, self.b):
+        for when in self.links.reset_times(self.a, self.target_name):
             loop.call_later(max(0.0, when - self.clock()), self.reset)
 
-    def connect(self, end: End) -> None:
-        """The other side, as soon as the link lets it: one that is cut never comes up."""
-        way = self.links.between(self.a, self.b, self.clock())
-        if way.broken:
+    def connect_target(self, end: StreamEnd) -> None:
+        """Opens the connection to the target, unless a `break` fault is active: then aborts the gateway's."""
+        condition = self.links.between(self.a, self.target_name, self.clock())
+        if condition.broken:
             if end.transport is not None:
                 end.transport.abort()
             return
-        end.other = End(self, False, end)
+        end.peer = StreamEnd(self, False, end)
 
         async def reach() -> None:
             try:
-                await asyncio.get_running_loop().create_connection(lambda: other, *self.target())
+                await asyncio.get_running_loop().create_connection(lambda: peer, *self.target())
             except OSError:
                 if end.transport is not None:
                     end.transport.abort()
 
-        other = end.other
+        peer = end.peer
         task = asyncio.get_running_loop().create_task(reach())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def pass_on(self, end: End, data: bytes) -> None:
-        at = self.clock()
-        way = self.links.between(self.a, self.b, at) if end.forth else self.links.between(self.b, self.a, at)
-        if end.other is None:
+    def relay(self, end: StreamEnd, data: bytes) -> None:
+        now = self.clock()
+        condition = (
+            self.links.between(self.a, self.target_name, now)
+            if end.from_gateway
+            else self.links.between(self.target_name, self.a, now)
+        )
+        if end.peer is None:
             return
-        # cut off: silence, and the connection stays open, as one to a machine that has vanished
-        wait = max(way.delay, way.hold - at, way.cut - at) + way.jitter * self.chance.random()
-        end.due = max(end.due, at + wait)
-        if end.due > at:
-            asyncio.get_running_loop().call_later(end.due - at, end.other.write, data)
+        # a cut link is silent and its connection stays open, as after the remote machine has disappeared
+        delay = (
+            max(condition.delay, condition.hold - now, condition.cut - now)
+            + condition.jitter * self.rng.random()
+        )
+        end.next_send_at = max(end.next_send_at, now + delay)
+        if end.next_send_at > now:
+            asyncio.get_running_loop().call_later(end.next_send_at - now, end.peer.write, data)
         else:
-            end.other.write(data)
+            end.peer.write(data)
 
     def reset(self) -> None:
         for end in list(self.ends):
--- a/damsonstream/together/rig.py
+++ b/damsonstream/together/rig.py
@@ -1,8 +1,8 @@
-"""One play of several processes: real gateways, a relay on every path between them and all others, stand-ins,
-and a script of what breaks.
+"""Runs a fault-injection script with several processes: real gateways, a relay on every network path, and
+stand-ins for caches, parents, the origin, discovery and viewers.
 
-How it is called: `await play(script, without, folder, seed)` returns what was seen, of which verdict.py
-makes the result. Only processes started here are ever signalled, and all of them end with the play.
+`await run_script(script, without, folder, seed)` returns the observations, from which verdict.py computes the
+result. Only processes started here are ever signalled, and all of them end with the run.
 """
 
 from __future__ import annotations
@@ -26,39 +26,43 @@
 from damsonstream.standins import wire
 from damsonstream.standins.clients import Front
 from damsonstream.standins.faults import Plan
-from damsonstream.standins.servers import LOOPBACK, Kind, Node, Shape, World
+from damsonstream.standins.servers import LOOPBACK, Node, NodeKind, Shape, World
 from damsonstream.standins.traffic import GROUPS, Catalogue, arrivals
 from damsonstream.together import figures
 from damsonstream.together.checks import Filled, Forwarded, Seen, Tried
 from damsonstream.together.links import Links
-from damsonstream.together.relay import Datagrams, Stream
+from damsonstream.together.relay import DatagramRelay, StreamRelay
 from damsonstream.together.script import Script, Step
 
-VIEWERS = 500
+VIEWER_COUNT = 500
 
 
 class Rig:
+    """Everything that takes part in one run; `without` names the features of gateways to switch off."""
+
     def __init__(self, script: Script, without: frozenset[str], folder: Path, seed: int) -> None:
         self.script, self.names = script, list(script.gateways)
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.catalogue = Catalogue(OFFERS, seed)
-        per_shop = [place.caches for place in script.zones] or [script.caches]
-        shape = Shape(len(per_shop), max(per_shop), script.hubs, Kind("cache", script.memory, script.lanes))
+        per_shop = [zone.caches for zone in script.zones] or [script.caches]
+        shape = Shape(
+            len(per_shop), max(per_shop), script.hubs, NodeKind("cache", script.memory, script.lanes)
+        )
         self.world = World(shape, Plan(script.nodes), seed, self.catalogue.describe, REMEMBERED)
-        self.world.witness = self.saw
+        self.world.on_forward = self.record_forward
         self.links = Links(script.links)
-        self.world.held, self.world.filled = self.held, self.filled
+        self.world.held, self.world.on_fill = self.held, self.record_fill
         self.zones = figures.zones(script, max(per_shop))
         self.revision = 0
         self.folder = folder
-        self.datagrams = Datagrams(self.names, self.links, self.world.now, random.Random(seed + 3))
-        self.streams: dict[tuple[str, str], Stream] = {}
-        self.bulletins: dict[str, Stream] = {}
+        self.datagrams = DatagramRelay(self.names, self.links, self.world.now, random.Random(seed + 3))
+        self.node_streams: dict[tuple[str, str], StreamRelay] = {}
+        self.discovery_streams: dict[str, StreamRelay] = {}
         self.scenario = Scenario(script.name, script.about, script.lasts, script.rate, len(self.names),
                                  script.caches, script.hubs, (), ())  # fmt: skip
-        pieces = "".join(f"    {piece} #{str(piece not in without).lower()}\n" for piece in PIECES)
-        operator = f"peers {{\n{pieces}}}\n" + ('tiers "tiers.kdl"\n' if script.zones else "")
-        self.fleet = Fleet(folder, folder / "records", self.names, (), self.settings, operator)
+        features = "".join(f"    {name} #{str(name not in without).lower()}\n" for name in PIECES)
+        operator = f"peers {{\n{features}}}\n" + ('tiers "tiers.kdl"\n' if script.zones else "")
+        self.fleet = Fleet(folder, folder / "records", self.names, (), self.gateway_config, operator)
         self.peer_ports = {name: free_port(socket.SOCK_DGRAM) for name in self.names}
         self.front = Front(self.fleet.addresses, self.catalogue, self.world.now, seed + 1)
         self.front.weights = script.weights
@@ -68,89 +72,100 @@
     def held(self, a: str, b: str) -> float:
         return self.links.held(a, b, self.world.now())
 
-    def filled(self, asker: Node, source: Node) -> None:
-        zones = self.zones.get(asker.name, ""), self.zones.get(source.name, "")
-        self.seen.fills.append(Filled(self.world.now(), asker.name, source.name, *zones))
+    def record_fill(self, requester: Node, source: Node) -> None:
+        zone_names = self.zones.get(requester.name, ""), self.zones.get(source.name, "")
+        self.seen.fills.append(Filled(self.world.now(), requester.name, source.name, *zone_names))
 
     def write_tiers(self) -> None:
-        """The hierarchy's next revision, as an operator writes it."""
+        """Writes the next revision of the hierarchy file, as an operator does."""
         self.revision += 1
         uids = {name: node.uid for name, node in self.world.nodes.items()}
         (self.folder / "tiers.kdl").write_text(figures.hierarchy(self.script, uids, self.revision))
 
-    def view(self, name: str, news: wire.News) -> wire.News:
-        """The list as one gateway is told it: each node at the relay before it."""
-        if not isinstance(news, tuple):
-            return news
+    def event_for(self, name: str, event: wire.Event) -> wire.Event:
+        """Returns a discovery event as one gateway receives it, with the relays' addresses for the nodes."""
+        if not isinstance(event, tuple):
+            return event
         by_id = {node.id: node.name for node in self.world.nodes.values()}
-        return tuple(replace(line, address=self.streams[name, by_id[line.id]].address) for line in news)
-
-    def settings(self, name: str) -> dict[str, Any]:
-        told = demo.settings(self.world, self.scenario)
-        world = self.world
-        events = [(n, self.view(name, news)) for n, news in enumerate(world.bulletin.events, 1)]
-        host, port = self.bulletins[name].address
-        told |= {
+        return tuple(replace(line, address=self.node_streams[name, by_id[line.id]].address) for line in event)
+
+    def gateway_config(self, name: str) -> dict[str, Any]:
+        config = demo.gateway_config(self.world, self.scenario)
+        stand_ins = self.world
+        events = [(n, self.event_for(name, event)) for n, event in enumerate(stand_ins.discovery.events, 1)]
+        host, port = self.discovery_streams[name].address
+        config |= {
             "bulletin": f"{host}:{port}",
-            "known": wire.known(events, list(world.locations), list(world.models)),
+            "known": wire.event_log(events, list(stand_ins.locations), list(stand_ins.models)),
             "peer_listen": f"{LOOPBACK}:{self.peer_ports[name]}",
-            "peers": self.datagrams.seen_by(name),
+            "peers": self.datagrams.peer_addresses(name),
         }
-        told["settings"] = figures.settings(
-            self.script, self.names.index(name), *figures.homes(self.script), world.models, world.locations
+        config["settings"] = figures.settings(
+            self.script,
+            self.names.index(name),
+            *figures.homes(self.script),
+            stand_ins.models,
+            stand_ins.locations,
         )
-        return told
-
-    def saw(self, node: Node, fields: dict[str, str], sender: object) -> None:
-        by = next(
-            (a for (a, b), stream in self.streams.items() if b == node.name and sender in stream.out), ""
+        return config
+
+    def record_forward(self, node: Node, fields: dict[str, str], peer_address: object) -> None:
+        gateway = next(
+            (
+                a
+                for (a, b), stream in self.node_streams.items()
+                if b == node.name and peer_address in stream.outgoing_addresses
+            ),
+            "",
         )
         source = self.world.by_uid.get(fields.get("fetch", ""))
-        self.seen.forwards.append(Forwarded(self.world.now(), by, node.name, source.name if source else ""))
+        self.seen.forwards.append(
+            Forwarded(self.world.now(), gateway, node.name, source.name if source else "")
+        )
 
     async def open(self) -> None:
-        world = self.world
-        await world.open()
+        stand_ins = self.world
+        await stand_ins.open()
         if self.script.zones:
             self.write_tiers()
         for name in self.names:
-            for node in world.nodes.values():
-                self.streams[name, node.name] = self.before(name, node)
-                await self.streams[name, node.name].open()
-            bulletin = world.bulletin.view_for(partial(self.view, name))
-            await bulletin.listen()
-            self.bulletins[name] = self.stream(
-                name, "bulletin", (lambda port: lambda: (LOOPBACK, port))(bulletin.port)
+            for node in stand_ins.nodes.values():
+                self.node_streams[name, node.name] = self.stream_to_node(name, node)
+                await self.node_streams[name, node.name].open()
+            discovery = stand_ins.discovery.add_listener(partial(self.event_for, name))
+            await discovery.listen()
+            self.discovery_streams[name] = self.stream(
+                name, "bulletin", (lambda port: lambda: (LOOPBACK, port))(discovery.port)
             )
-            await self.bulletins[name].open()
+            await self.discovery_streams[name].open()
         await self.datagrams.open({name: (LOOPBACK, port) for name, port in self.peer_ports.items()})
 
-    def before(self, name: str, node: Node) -> Stream:
-        """A relay before a node, which may start anew at its port."""
+    def stream_to_node(self, name: str, node: Node) -> StreamRelay:
+        """Creates the relay to a node, whose port is looked up for each connection."""
         return self.stream(name, node.name, lambda: (LOOPBACK, node.port))
 
-    def stream(self, a: str, b: str, target: Any) -> Stream:
-        return Stream(a, b, target, self.links, self.world.now, self.chance)
+    def stream(self, a: str, b: str, target: Any) -> StreamRelay:
+        return StreamRelay(a, b, target, self.links, self.world.now, self.rng)
 
-    async def until(self, at: float) -> None:
+    async def sleep_until(self, at: float) -> None:
         await anyio.sleep(max(0.0, at - self.world.now()))
 
-    async def step(self, step: Step) -> None:
-        await self.until(step.at)
+    async def run_step(self, step: Step) -> None:
+        await self.sleep_until(step.at)
         if step.does == "purge":
-            for number in sorted(self.chance.sample(range(GROUPS), max(1, round(step.amount * GROUPS)))):
+            for number in sorted(self.rng.sample(range(GROUPS), max(1, round(step.amount * GROUPS)))):
                 self.world.purge("", number)
         for name in step.to:
             if step.does == "stall":
-                self.fleet.stall(name)
+                self.fleet.pause(name)
             elif step.does == "kill":
                 self.fleet.kill(name)
             elif step.does == "drain":
-                self.world.tell_state(name, 1)
+                self.world.set_state(name, 1)
         if step.does == "revise":
             self.write_tiers()
-            self.fleet.hang_up()
-        await self.until(step.end)
+            self.fleet.reload()
+        await self.sleep_until(step.end)
         async with anyio.create_task_group() as group:
             for name in step.to:
                 if step.does == "stall":
@@ -158,60 +173,62 @@
                 elif step.does == "kill":
                     group.start_soon(self.fleet.start, name)
                 elif step.does == "drain":
-                    self.world.tell_state(name, 0)
+                    self.world.set_state(name, 0)
 
-    async def viewers(self) -> None:
+    async def send_gets(self) -> None:
         script = self.script
-        wishes = arrivals(self.catalogue, script.rate_at, script.most_rate(), script.lasts, VIEWERS,
-                          self.seed + 2)  # fmt: skip
-        await self.front.play_out(wishes)
+        gets = arrivals(self.catalogue, script.rate_at, script.most_rate(), script.lasts, VIEWER_COUNT,
+                        self.seed + 2)  # fmt: skip
+        await self.front.send_and_drain(gets)
 
     async def run(self) -> Seen:
-        world, fleet, front = self.world, self.fleet, self.front
+        stand_ins, fleet, generator = self.world, self.fleet, self.front
         try:
             await self.open()
             async with anyio.create_task_group() as group:
                 for name in self.names:
                     group.start_soon(fleet.start, name)
             async with anyio.create_task_group() as group:
-                world.start()
-                self.arm_breaks()
-                group.start_soon(world.run)
+                stand_ins.start()
+                self.schedule_resets()
+                group.start_soon(stand_ins.run)
                 for name in self.names:
-                    group.start_soon(front.keep, name)
+                    group.start_soon(generator.keep, name)
                 await anyio.sleep(0.3)
                 async with anyio.create_task_group() as script:
                     for step in self.script.steps:
-                        script.start_soon(self.step, step)
-                    await self.viewers()
-                front.close()
+                        script.start_soon(self.run_step, step)
+                    await self.send_gets()
+                generator.close()
                 await fleet.stop()
                 group.cancel_scope.cancel()
         finally:
-            fleet.abandon()
-            world.close()
+            fleet.kill_all()
+            stand_ins.close()
             self.datagrams.close()
-            for stream in (*self.streams.values(), *self.bulletins.values()):
+            for stream in (*self.node_streams.values(), *self.discovery_streams.values()):
                 stream.close()
-        self.gather()
+        self.collect()
         return self.seen
 
-    def arm_breaks(self) -> None:
-        for stream in (*self.streams.values(), *self.bulletins.values()):
-            stream.arm()
+    def schedule_resets(self) -> None:
+        for stream in (*self.node_streams.values(), *self.discovery_streams.values()):
+            stream.schedule_resets()
 
-    def gather(self) -> None:
-        seen, world = self.seen, self.world
-        seen.tries = [Tried(one.sent, one.gateway, one.outcome) for one in self.front.tries]
+    def collect(self) -> None:
+        """Copies the logs of the relays, stand-ins and viewers into the observations."""
+        seen, stand_ins = self.seen, self.world
+        seen.tries = [Tried(get.sent, get.gateway, get.outcome) for get in self.front.tries]
         seen.told = [(passed.at, passed.a, item) for passed, item in self.datagrams.items()]
         seen.datagrams = [(passed.at, passed.a, len(passed.data)) for passed in self.datagrams.log]
-        seen.opened = [(at, a, b) for (a, b), stream in self.streams.items() for at in stream.opened]
-        seen.closed = [(at, a, b) for (a, b), stream in self.streams.items() for at in stream.closed]
-        seen.known = {node.name: source_id(node.uid) for node in world.nodes.values()}
-        seen.zones = {zone_digest(place.name): place.name for place in self.script.zones}
-        seen.faults = [*world.faults, *self.front.faults, *world.effects.doubles]
+        seen.opened = [(at, a, b) for (a, b), stream in self.node_streams.items() for at in stream.opened_at]
+        seen.closed = [(at, a, b) for (a, b), stream in self.node_streams.items() for at in stream.closed_at]
+        seen.known = {node.name: source_id(node.uid) for node in stand_ins.nodes.values()}
+        seen.zones = {zone_digest(zone.name): zone.name for zone in self.script.zones}
+        seen.faults = [*stand_ins.faults, *self.front.faults, *stand_ins.effects.doubles]
 
 
 async def play(script: Script, without: frozenset[str], folder: Path, seed: int) -> Seen:
+    """Runs a script once, with configurations, logs and records of the gateways in `folder`."""
     (folder / "records").mkdir(parents=True, exist_ok=True)
     return await Rig(script, without, folder, seed).run()
--- a/damsonstream/together/script.py
+++ b/damsonstream/together/script.py
@@ -1,6 +1,6 @@
-"""What a play of several processes does, and what it has to show: read from KDL. No sockets.
+"""Loads fault-injection scripts from KDL: the gateways and nodes, the faults, and the checks. No sockets.
 
-How it is called: `load(path)` gives a `Script`, or raises `settings.kdl.Fault`. Forms: docs/together.md.
+`load(path)` returns a `Script`, or raises `settings.kdl.Fault`. The format is described in docs/together.md.
 """
 
 from __future__ import annotations
@@ -17,12 +17,15 @@
 
 PROCESS_KINDS = ("stall", "kill")
 OWN = ("purge", "drain", "rate", "revise")
-LEAST, MOST = 3.0, 300.0  # seconds of a play
+LEAST, MOST = 3.0, 300.0  # seconds that a run may take
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """What happens to a process, the list or the load."""
+    """An action of the script on a process, on the discovery list or on the load; times in seconds.
+
+    `does` is the kind, `to` its targets; `amount` is the share of objects purged, or the factor of the rate.
+    """
 
     at: float
     does: str
@@ -36,8 +39,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
-    """A zone of a play: the gateways and caches of one shop, and hubs of its own."""
+class Zone:
+    """A zone: the gateways and caches of one shop, and parents (`hubs`) of its own.
+
+    `prefers` lists the zones that take over its fills, in order, when its parents are lost.
+    """
 
     name: str
     region: str
@@ -45,113 +51,119 @@
     caches: int
     hubs: tuple[str, ...]
     prefers: tuple[str, ...]
-    takes: float
-    bears: float  # fills a second that each of its hubs is told to bear
-    ramp: float
+    spill_share: float  # part of the parents' capacity that fills from other zones may use
+    parent_capacity: float  # fills per second of each of its parents
+    ramp: float  # seconds over which fills return to the zone after a loss
 
 
 @dataclass(slots=True, frozen=True)
 class Script:
+    """A loaded script. The fields `nodes`, `links` and `steps` are its faults, `checks` its bounds."""
+
     name: str
     about: str
-    piece: str  # what it proves; empty: nothing in particular
-    lasts: float
-    rate: float
+    piece: str  # the feature of the gateways that its checks demonstrate; may be empty
+    lasts: float  # seconds
+    rate: float  # GETs per second
     gateways: tuple[str, ...]
-    weights: dict[str, float]  # of viewers, by gateway
+    weights: dict[str, float]  # relative number of viewers by gateway
     caches: int
     hubs: int
-    warm: float  # seconds in which a cache that starts gets warm, as gateways are told
-    cold: tuple[
+    warm_up: float  # seconds until a restarted cache is warm, as configured in the gateways
+    cold_start: tuple[
         float, float
-    ]  # told too: the part of its capacity that it starts with, and what pushes it over
-    lanes: int  # GETs that a cache has under way at once
-    memory: int  # bytes of a cache
-    zones: tuple[Place, ...]  # none: one shop, and no hierarchy
-    vault_cap: float
+    ]  # gateway settings: share of its capacity that a cold cache starts with, and its overload multiple
+    lanes: int  # GETs that a cache processes at once
+    memory: int  # capacity of a cache in bytes
+    zones: tuple[Zone, ...]  # empty: one shop and no hierarchy
+    origin_cap: float
     nodes: tuple[Fault, ...]
     links: tuple[links.LinkFault, ...]
     steps: tuple[Step, ...]
     checks: tuple[Check, ...]
 
     def rate_at(self, at: float) -> float:
-        """GETs a second that viewers bring then."""
+        """Returns the GETs per second that viewers send at that time."""
         factors = [s.amount for s in self.steps if s.does == "rate" and s.at <= at < s.end]
         return self.rate * (max(factors) if factors else 1.0)
 
     def most_rate(self) -> float:
         return max([self.rate_at(0.0), *(self.rate_at(step.at) for step in self.steps)])
 
-    def count(self) -> int:
+    def fault_count(self) -> int:
+        """Returns the number of faults; a change of the load is none."""
         return len(self.nodes) + len(self.links) + sum(step.does not in ("rate",) for step in self.steps)
 
 
 def load(path: str) -> Script:
-    top = kdl.read(path)
-    lasts = top.span("lasts", 12.0, LEAST)
+    document = kdl.read(path)
+    lasts = document.span("lasts", 12.0, LEAST)
     if lasts > MOST:
-        raise top.fault(f"lasts longer than {MOST:g} s", "lasts")
-    piece = top.text("piece")
-    if piece and piece not in PIECES:
-        raise top.fault(f"{piece} is none of {', '.join(PIECES)}", "piece")
-    gateways = tuple(f"n{n + 1}" for n in range(int(top.number("gateways", 6, 1, 32))))
-    caches, hubs = int(top.number("caches", 4, 1, 64)), int(top.number("hubs", 2, 1, 16))
+        raise document.fault(f"lasts longer than {MOST:g} s", "lasts")
+    feature = document.text("piece")
+    if feature and feature not in PIECES:
+        raise document.fault(f"{feature} is none of {', '.join(PIECES)}", "piece")
+    gateways = tuple(f"n{n + 1}" for n in range(int(document.number("gateways", 6, 1, 32))))
+    caches, hubs = int(document.number("caches", 4, 1, 64)), int(document.number("hubs", 2, 1, 16))
     nodes = [f"cache-1-{n + 1}" for n in range(caches)] + [f"hub-{n + 1}" for n in range(hubs)] + ["vault"]
-    places = tuple(zone(section, gateways, hubs) for section in top.all("zone"))
-    if places:
-        nodes = [f"cache-{s + 1}-{n + 1}" for s, one in enumerate(places) for n in range(one.caches)]
+    zones = tuple(parse_zone(section, gateways, hubs) for section in document.all("zone"))
+    if zones:
+        nodes = [f"cache-{s + 1}-{n + 1}" for s, one in enumerate(zones) for n in range(one.caches)]
         nodes += [f"hub-{n + 1}" for n in range(hubs)] + ["vault"]
-        if sorted(n for one in places for n in one.gateways) != sorted(gateways):
-            raise top.fault(f"zones do not share out {', '.join(gateways)}", "zone")
+        if sorted(n for one in zones for n in one.gateways) != sorted(gateways):
+            raise document.fault(f"the zones must name each of {', '.join(gateways)} once", "zone")
     weights = dict.fromkeys(gateways, 1.0)
-    for section in top.all("weight"):
-        for name in named(section, "gateway", list(gateways)):
+    for section in document.all("weight"):
+        for name in parse_names(section, "gateway", list(gateways)):
             weights[name] = section.number("is", 1.0, 0, 1e4)
         section.finish()
     faults: list[Fault] = []
-    between: list[links.LinkFault] = []
+    link_faults: list[links.LinkFault] = []
     steps: list[Step] = []
-    for section in top.all("fault"):
+    for section in document.all("fault"):
         does, at = section.text("does"), section.span("at", -1.0)
         if at < 0:
             raise section.fault("lacks the field at")
-        long = section.span("lasts", 0.0)
-        if at + long > lasts:
-            raise section.fault(f"ends at {at + long:g} s, after the play's {lasts:g} s", "lasts")
+        duration = section.span("lasts", 0.0)
+        if at + duration > lasts:
+            raise section.fault(
+                f"ends at {at + duration:g} s, after the end of the run at {lasts:g} s", "lasts"
+            )
         if does in links.KINDS:
-            between.append(link(section, does, at, long, [*gateways, *nodes, "bulletin"]))
+            link_faults.append(parse_link_fault(section, does, at, duration, [*gateways, *nodes, "bulletin"]))
         elif does in NODE_KINDS:
             amount = section.number("amount", 1.0, 0, 1e6)
-            faults += [Fault(name, does, at, long, amount) for name in named(section, "to", nodes)]
+            faults += [Fault(name, does, at, duration, amount) for name in parse_names(section, "to", nodes)]
         elif does in (*PROCESS_KINDS, *OWN):
             known = list(gateways) if does in PROCESS_KINDS else nodes
-            to = () if does in ("purge", "rate", "revise") else named(section, "to", known)
-            steps.append(Step(at, does, to, long, section.number("amount", 1.0, 0, 1e6)))
+            to = () if does in ("purge", "rate", "revise") else parse_names(section, "to", known)
+            steps.append(Step(at, does, to, duration, section.number("amount", 1.0, 0, 1e6)))
         else:
             kinds = ", ".join((*links.KINDS, *NODE_KINDS, *PROCESS_KINDS, *OWN))
             raise section.fault(f"{does or 'nothing'} is none of {kinds}", "does")
         section.finish()
     found = Script(
-        Path(path).stem, top.text("about", Path(path).stem), piece, lasts,
-        top.number("rate", 60, 1, 2000), gateways, weights, caches, hubs,
-        top.span("warm", 4.0), (top.number("starts-at", 0.3, 0, 1), top.number("falls-at", 4.0, 1, 100)),
-        int(top.number("lanes", 24, 1, 1000)), top.size("memory", 6 << 20, 1 << 16), places,
-        top.number("vault-cap", 0, 0, 1e6), tuple(faults), tuple(between),
+        Path(path).stem, document.text("about", Path(path).stem), feature, lasts,
+        document.number("rate", 60, 1, 2000), gateways, weights, caches, hubs,
+        document.span("warm", 4.0),
+        (document.number("starts-at", 0.3, 0, 1), document.number("falls-at", 4.0, 1, 100)),
+        int(document.number("lanes", 24, 1, 1000)), document.size("memory", 6 << 20, 1 << 16), zones,
+        document.number("vault-cap", 0, 0, 1e6), tuple(faults), tuple(link_faults),
         tuple(sorted(steps, key=lambda step: (step.at, step.does, step.to))),
-        tuple(check(section, lasts, [*nodes, *(one.name for one in places)], gateways)
-              for section in top.all("check")),
+        tuple(parse_check(section, lasts, [*nodes, *(one.name for one in zones)], gateways)
+              for section in document.all("check")),
     )  # fmt: skip
-    top.finish()
+    document.finish()
     return found
 
 
-def zone(section: kdl.Section, gateways: tuple[str, ...], hubs: int) -> Place:
+def parse_zone(section: kdl.Section, gateways: tuple[str, ...], hubs: int) -> Zone:
     if len(section.args) != 1 or not isinstance(section.args[0], str) or not section.args[0]:
         raise section.fault("takes the zone's name")
-    known = [f"hub-{n + 1}" for n in range(hubs)]
-    found = Place(
-        section.args[0], section.text("region"), named(section, "gateways", list(gateways)),
-        int(section.number("caches", 2, 1, 16)), named(section, "hubs", known),
+    parent_names = [f"hub-{n + 1}" for n in range(hubs)]
+    found = Zone(
+        section.args[0], section.text("region"), parse_names(section, "gateways", list(gateways)),
+        int(section.number("caches", 2, 1, 16)), parse_names(section, "hubs", parent_names),
         tuple(name for text in section.texts("prefers") for name in text.split()),
         section.number("takes", 0.5, 0, 1), section.number("bears", 60, 0, 1e6),
         section.span("ramp", 8.0, 1.0),
@@ -160,8 +172,8 @@
     return found
 
 
-def named(section: kdl.Section, field: str, known: list[str]) -> tuple[str, ...]:
-    """Names, each a text of its own or several in one; `all` are all."""
+def parse_names(section: kdl.Section, field: str, known: list[str]) -> tuple[str, ...]:
+    """Returns the names in a field, where a text may hold several names and `all` stands for all of them."""
     names = tuple(name for text in section.texts(field) for name in text.split())
     if names == ("all",):
         return tuple(known)
@@ -173,34 +185,36 @@
     return names
 
 
-def link(section: kdl.Section, does: str, at: float, long: float, known: list[str]) -> links.LinkFault:
+def parse_link_fault(
+    section: kdl.Section, does: str, at: float, duration: float, node_names: list[str]
+) -> links.LinkFault:
     amount = section.number("amount", 1.0, 0, 1e6)
-    if does in links.SHARES and amount > 1:
+    if does in links.SHARE_KINDS and amount > 1:
         raise section.fault(f"{amount:g} is not a share from 0 to 1", "amount")
     if does in ("cut", "split", "break"):
         groups = [frozenset(one.split()) for one in section.texts("groups")]
         if not groups or (does == "split" and len(groups) < 2):
-            raise section.fault("names no groups that are kept apart", "groups")
+            raise section.fault("names too few groups to separate", "groups")
     else:
-        both = [section.texts("from"), section.texts("to")]
-        groups = [frozenset(name for text in texts for name in text.split()) for texts in both]
+        endpoints = [section.texts("from"), section.texts("to")]
+        groups = [frozenset(name for text in texts for name in text.split()) for texts in endpoints]
         if does == "one-way" and not any(groups):
             raise section.fault("names neither from nor to", "from")
     for name in frozenset().union(*groups):
-        if name not in known:
-            raise section.fault(f"{name} is none of {', '.join(known)}", "groups")
-    return links.LinkFault(does, at, long, tuple(groups), amount)
+        if name not in node_names:
+            raise section.fault(f"{name} is none of {', '.join(node_names)}", "groups")
+    return links.LinkFault(does, at, duration, tuple(groups), amount)
 
 
-def check(section: kdl.Section, lasts: float, nodes: list[str], gateways: tuple[str, ...]) -> Check:
+def parse_check(section: kdl.Section, lasts: float, nodes: list[str], gateways: tuple[str, ...]) -> Check:
     name, of = section.text("name"), section.text("of")
     if name not in CHECKS:
         raise section.fault(f"{name or 'nothing'} is none of {', '.join(CHECKS)}", "name")
     start, end = section.span("from", 0.0), section.span("until", lasts)
     if of and of not in (*nodes, *gateways):
         raise section.fault(f"{of} is none of {', '.join((*nodes, *gateways))}", "of")
-    least, most = section.number("least", -1.0, -1, 1e9), section.number("most", -1.0, -1, 1e9)
-    if least < 0 and most < 0:
-        raise section.fault("lacks both of least and most")
+    minimum, maximum = section.number("least", -1.0, -1, 1e9), section.number("most", -1.0, -1, 1e9)
+    if minimum < 0 and maximum < 0:
+        raise section.fault("needs least, most or both")
     section.finish()
-    return Check(name, of, start, end, least if least >= 0 else None, most if most >= 0 else None)
+    return Check(name, of, start, end, minimum if minimum >= 0 else None, maximum if maximum >= 0 else None)
--- a/damsonstream/together/verdict.py
+++ b/damsonstream/together/verdict.py
@@ -1,18 +1,15 @@
-"""The verdict on a play, of processes or in virtual time. No I/O.
-
-How it is called: `result(script, without, seen, seconds)`.
-"""
+"""Evaluates all checks of one run of a script, with real processes or in virtual time. No I/O."""
 
 from __future__ import annotations
 
 import msgspec
 
-from damsonstream.together.checks import Seen, Verdict, always, judge
+from damsonstream.together.checks import Seen, Verdict, judge, violations_verdict
 from damsonstream.together.script import Script
 
 
 class Result(msgspec.Struct):
-    """What `--json` holds."""
+    """The result of a run, as `--json` writes it; `without` are the features that were switched off."""
 
     script: str
     verdict: str  # kept or broken
@@ -24,7 +21,7 @@
 
 
 def result(script: Script, without: frozenset[str], seen: Seen, seconds: float) -> Result:
-    verdicts = [judge(check, seen) for check in script.checks] + [always(seen)]
+    verdicts = [judge(check, seen) for check in script.checks] + [violations_verdict(seen)]
     kept = all(verdict.kept for verdict in verdicts)
-    return Result(script.name, "kept" if kept else "broken", len(script.gateways), script.count(),
+    return Result(script.name, "kept" if kept else "broken", len(script.gateways), script.fault_count(),
                   sorted(without), round(seconds, 1), verdicts)  # fmt: skip
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,6 @@
-"""A small footprint, a driver that prints what the router decides, and stand-ins for caches and bulletin."""
+"""Test fixtures: a small footprint, a driver that traces a router's decisions, a stand-in server for caches
+and discovery, and a base class for tests that compare traces.
+"""
 
 from __future__ import annotations
 
@@ -19,13 +21,13 @@
 from damsonstream.routing import interface as i
 from damsonstream.routing.router import Router
 
-S = 10_000
+S = 10_000  # ticks of the router's clock per second
 TILES = i.DeliveryService("tiles", 6000, 2.0, 60000, 2.0, 0.15, "idempotent", "all", 0, False, 0, 0, False)
 PAGES = replace(TILES, name="pages", objective=2500, viewer_timeout=25000, revenue=1.0, fresh=8 * S)
 ORDER = replace(TILES, name="order", effect="tokened", remembered=3 * S, passes=True, viewer_timeout=30000)
-FIRM = replace(ORDER, name="firm", effect="non-idempotent")
+NON_IDEMPOTENT = replace(ORDER, name="firm", effect="non-idempotent")
 FOOTPRINT = i.Footprint(
-    services=(TILES, PAGES, ORDER, FIRM), location="shop", gateways=4, location_gateways=1,
+    services=(TILES, PAGES, ORDER, NON_IDEMPOTENT), location="shop", gateways=4, location_gateways=1,
     models=("box", "parent", "origin"), parent_model="parent", origin_model="origin", weights="rough",
     ask_for_list=False, ask_within=10 * S, client_kb_per_s=2000.0, notes="hit", joins=True, direct=False,
     tick=20, cancel=True, second_copies=True, retry_after=True, max_forwards=6, max_retry_after=5000,
@@ -41,7 +43,10 @@
 
 
 class Desk:
-    """Feeds one router and writes down its decisions, short enough to be read."""
+    """Drives one router and records its decisions as short lines of text.
+
+    `legs` is the number of attempts of each GET; traces call an attempt by its index a leg.
+    """
 
     def __init__(self, nodes: str = "c1 c2 p1 p2 o", **changes: Any) -> None:
         self.router, self.now, self.lines = Router(), 100 * S, list[str]()
@@ -93,7 +98,7 @@
         self.tell(i.ForwardEnded(get, leg, cache, result, took, first, note, over, shared, load))
 
     def wait(self, time: int, step: int = 200) -> None:
-        """Lets time pass, waking the router as its timers would."""
+        """Advances the time, waking the router as its timers would."""
         until = self.now + time
         while self.now < until:
             self.now = min(until, self.now + step)
@@ -101,8 +106,10 @@
 
 
 class TraceCase(unittest.TestCase):
+    """Compares traces with those kept in tests/traces/."""
+
     def check(self, name: str, lines: list[str]) -> None:
-        """The trace must be the one kept; where none is kept, that of this run is written down to be read."""
+        """Compares a trace with the kept one; a different one is written beside it as NAME.now."""
         kept = Path(__file__).parent / "traces" / f"{name}.txt"
         expected = kept.read_text().splitlines() if kept.exists() else []
         difference = "\n".join(difflib.unified_diff(expected, lines, "kept", "now", lineterm=""))
@@ -112,7 +119,7 @@
 
 
 def get_records(id: int, fields: dict[str, str], body: bytes = b"") -> bytes:
-    """A GET as a web server sends it."""
+    """Encodes a GET as a web server sends it."""
     pairs = b"".join(fastcgi.pair(name.encode(), value.encode()) for name, value in fields.items())
     parts = (fastcgi.BEGIN, pack(">HB5x", 1, 1)), (fastcgi.PARAMS, pairs), (fastcgi.PARAMS, b"")
     stdin = ((fastcgi.STDIN, body), (fastcgi.STDIN, b"")) if body else ((fastcgi.STDIN, b""),)
@@ -120,7 +127,7 @@
 
 
 def list_frame(number: int, kind: int, *lines: tuple[int, str, int, int]) -> bytes:
-    """A frame of the bulletin; a line is id, address, state and place of its model."""
+    """Encodes a discovery frame; a line is id, address, state and index of its model."""
     payload = b""
     for id, address, state, model in lines:
         host, _, port = address.rpartition(":")
@@ -130,12 +137,12 @@
 
 
 class StandIn:
-    """A cache or a bulletin of our own, from the protocol's page: writes down what came."""
+    """A cache or discovery server, written from the protocol's page, that records what it receives."""
 
     def __init__(self) -> None:
-        self.came: list[list[bytes]] = []  # commands of caches, whole
-        self.hellos: list[int] = []
-        self.frames: list[bytes] = []
+        self.came: list[list[bytes]] = []  # complete commands to a cache
+        self.hellos: list[int] = []  # the event numbers after which clients asked
+        self.frames: list[bytes] = []  # what the discovery server sends
         self.streams: list[SocketStream] = []
         self.changed = anyio.Event()
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,4 +1,4 @@
-"""Several gateways as processes, with faults between them: shipped scripts, with each piece and without."""
+"""Fault-injection scripts: parsing, links and checks, and runs of the shipped ones with real processes."""
 
 from __future__ import annotations
 
@@ -20,29 +20,30 @@
 from tests.known_red import BrokenBound, KnownRed
 
 SCRIPTS = Path("examples/together")
-AT_ONCE = 2  # plays side by side: some 16 processes; with 3 one verdict in 77 was off
+CONCURRENT_RUNS = 2  # about 16 processes; with 3 concurrent runs one verdict in 77 was wrong
 
 
-def play(name: str, *more: str) -> tuple[int, dict[str, Any], str]:
+def run_script(name: str, *options: str) -> tuple[int, dict[str, Any], str]:
+    """Returns the exit code of `together run`, its JSON result and its output."""
     with tempfile.TemporaryDirectory() as folder:
         out = Path(folder, "out.json")
         ended = subprocess.run(
             [sys.executable, "-m", "damsonstream", "together", "run", str(SCRIPTS / f"{name}.kdl"),
-             "--json", str(out), "--folder", folder, *more],
+             "--json", str(out), "--folder", folder, *options],
             capture_output=True, text=True, timeout=120,
         )  # fmt: skip
-        told = json.loads(out.read_text()) if out.exists() else {}
-        return ended.returncode, told, ended.stdout + ended.stderr
+        result = json.loads(out.read_text()) if out.exists() else {}
+        return ended.returncode, result, ended.stdout + ended.stderr
 
 
-def broken_bounds(name: str, told: dict[str, Any]) -> list[BrokenBound]:
-    """The checks that a play's result names as not kept."""
+def broken_bounds(name: str, result: dict[str, Any]) -> list[BrokenBound]:
+    """Returns the checks that the result of a run reports as not kept."""
     return [BrokenBound(name, f"{check['name']} ({check['bound']})", check["seen"])
-            for check in told.get("checks", []) if not check["kept"]]  # fmt: skip
+            for check in result.get("checks", []) if not check["kept"]]  # fmt: skip
 
 
 def unexpected(broken: list[BrokenBound], cases: list[KnownRed]) -> list[BrokenBound]:
-    """Those that KNOWN-RED.txt does not list."""
+    """Returns the broken bounds that KNOWN-RED.txt does not list."""
     return [one for one in broken if known_red.recorded(one, cases) is None]
 
 
@@ -53,44 +54,45 @@
                   f"open issue: {case.issue}; {case.command}", file=sys.stderr)  # fmt: skip
 
 
-PEERS = ("evidence", "turns", "shares", "subsets", "members")
-ZONES = ("zone-loss", "zone-flap", "zone-split", "zone-slow", "zone-restart", "region-loss")
-Play = tuple[str, tuple[str, ...]]
+FEATURE_SCRIPTS = ("evidence", "turns", "shares", "subsets", "members")
+ZONE_SCRIPTS = ("zone-loss", "zone-flap", "zone-split", "zone-slow", "zone-restart", "region-loss")
+Run = tuple[str, tuple[str, ...]]  # script and options
 
 
 @unittest.skipIf(os.environ.get("DAMSONSTREAM_PLAYS") == "0", "plays of several processes are switched off")
-class Processes(unittest.TestCase):
-    """Bounds from the stand-ins' and relays' own logs; each is broken where its piece is off."""
+class ProcessRuns(unittest.TestCase):
+    """A script's checks hold with all features on, and at least one fails with the script's feature off."""
 
-    def test_each_piece_is_seen_to_work_and_to_be_missed(self) -> None:
-        pairs = [(p, more) for p in PEERS for more in ((), ("--without", p))]
-        self.all_of([("smoke", ()), *pairs])
+    def test_checks_hold_only_with_the_feature_of_the_script(self) -> None:
+        pairs = [(p, options) for p in FEATURE_SCRIPTS for options in ((), ("--without", p))]
+        self.run_all([("smoke", ()), *pairs])
 
-    def test_zones_are_decided_in_common(self) -> None:
-        self.all_of([(p, more) for p in ZONES for more in ((), ("--without", "zones"))])
+    def test_zone_checks_hold_only_with_zones(self) -> None:
+        self.run_all([(p, options) for p in ZONE_SCRIPTS for options in ((), ("--without", "zones"))])
 
-    def all_of(self, plays: list[Play]) -> None:
-        with ThreadPoolExecutor(AT_ONCE) as pool:
-            found = list(pool.map(lambda one: play(one[0], *one[1]), plays))
+    def run_all(self, runs: list[Run]) -> None:
+        with ThreadPoolExecutor(CONCURRENT_RUNS) as pool:
+            found = list(pool.map(lambda run: run_script(run[0], *run[1]), runs))
         lines = []
         cases = known_red.load()
-        for (name, more), (code, told, printed) in zip(plays, found, strict=True):
-            broken = broken_bounds(name, told)
-            if code == 1 and not more and broken and not unexpected(broken, cases):
+        for (name, options), (code, result, printed) in zip(runs, found, strict=True):
+            broken = broken_bounds(name, result)
+            if code == 1 and not options and broken and not unexpected(broken, cases):
                 print_known(broken, cases)
-                code, told = 0, {"verdict": "kept"}
-            lines.append(f"{' '.join((name, *more))}: {code} {told.get('verdict')}")
-            if code != (1 if more else 0):
+                code, result = 0, {"verdict": "kept"}
+            lines.append(f"{' '.join((name, *options))}: {code} {result.get('verdict')}")
+            if code != (1 if options else 0):
                 lines.append(printed)
         self.maxDiff = None
         wanted = []
-        for name, more in plays:
-            wanted.append(f"{' '.join((name, *more))}: {'1 broken' if more else '0 kept'}")
+        for name, options in runs:
+            wanted.append(f"{' '.join((name, *options))}: {'1 broken' if options else '0 kept'}")
         self.assertEqual(lines, wanted)
 
 
 class Scripts(unittest.TestCase):
     def fault(self, text: str) -> str:
+        """Returns the error message for a malformed script."""
         with tempfile.NamedTemporaryFile("w", suffix=".kdl") as file:
             file.write(text)
             file.flush()
@@ -98,7 +100,7 @@
                 script.load(file.name)
             return str(caught.exception).replace(file.name, "FILE")
 
-    def test_faults_name_line_and_field(self) -> None:
+    def test_errors_name_line_and_field(self) -> None:
         self.assertEqual(
             [self.fault(text) for text in (
                 'gateways 4\nfault { does "cut"; at "1s"; lasts "1s" }',
@@ -109,17 +111,17 @@
                 'fault { does "drop"; from "n1"; amount 2; at "1s"; lasts "1s" }',
             )],
             [
-                "FILE:2: fault.groups: names no groups that are kept apart",
+                "FILE:2: fault.groups: names too few groups to separate",
                 "FILE:1: fault.to: hub-9 is none of "
                 "cache-1-1, cache-1-2, cache-1-3, cache-1-4, hub-1, hub-2, vault",
-                "FILE:2: fault.lasts: ends at 6 s, after the play's 5 s",
+                "FILE:2: fault.lasts: ends at 6 s, after the end of the run at 5 s",
                 self.fault('check { name "askd"; most 3 }'),
-                "FILE:1: check: lacks both of least and most",
+                "FILE:1: check: needs least, most or both",
                 "FILE:1: fault.amount: 2 is not a share from 0 to 1",
             ],
         )  # fmt: skip
 
-    def test_links_add_up(self) -> None:
+    def test_link_faults_combine(self) -> None:
         both = frozenset({"n1", "n2"})
         links = Links([
             LinkFault("split", 1, 4, (both, frozenset({"n3"}))),
@@ -135,10 +137,10 @@
         self.assertEqual(links.between("n3", "n2", 6), CLEAR)
         self.assertEqual(links.between("n1", "hub-1", 8).delay, 0.5)
 
-    def test_bounds_are_judged_over_their_span(self) -> None:
+    def test_checks_are_evaluated_over_their_span(self) -> None:
         seen = Seen(["n1", "n2"])
-        for at in range(20):
-            seen.forwards.append(Forwarded(at / 10, "n1" if at % 2 else "n2", "c", "h" if at > 4 else ""))
+        for n in range(20):
+            seen.forwards.append(Forwarded(n / 10, "n1" if n % 2 else "n2", "c", "h" if n > 4 else ""))
         checks = [Check("asked", "h", 0, 2, most=15), Check("asked", "h", 0, 1, most=4),
                   Check("asked-by", "", 0, 2, 2), Check("asked-a-second", "c", 0, 2, most=9)]  # fmt: skip
         self.assertEqual([(v.seen, v.kept) for v in (judge(check, seen) for check in checks)],
