--- a/damsonstream/demo/figures.py
+++ b/damsonstream/demo/figures.py
@@ -21,8 +21,9 @@
 
 def service_settings(profile: Offer) -> dict[str, Any]:
     result: dict[str, Any] = {
-        "name": profile.name, "onTime": 400_000, "aimStretch": 1.0, "hardLimit": profile.patience_ms * 1000,
-        "worth": 2.0 if profile.tokened else 1.0, "lateShare": 0.15, "idempotency": "idempotent",
+        "name": profile.name, "onTime": 400_000, "aimStretch": 1.0,
+        "hardLimit": profile.patience_ms * 1000, "worth": 2.0 if profile.tokened else 1.0,
+        "lateShare": 0.15, "idempotency": "idempotent",
     }  # fmt: skip
     if profile.tokened:
         result |= {"idempotency": "deduplicated", "keyScope": "all", "dedupWindow": int(REMEMBERED * 1e6)}
--- a/damsonstream/demo/scenario.py
+++ b/damsonstream/demo/scenario.py
@@ -66,6 +66,7 @@
 
 
 def shipped() -> list[str]:
+    """Returns the names of the shipped scenarios."""
     return kdl.shipped("damsonstream.demo", "scenarios")
 
 
--- a/damsonstream/demo/verdict.py
+++ b/damsonstream/demo/verdict.py
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         self.recorded: dict[str, Recorded] = {}
-        self.idents: dict[tuple[str, int, int], str] = {}
+        self.idents: dict[tuple[str, int, int], str] = {}  # by gateway, incarnation (boot) and GET number
 
     def entry_for(self, gateway: str, ident: str) -> Recorded:
         return self.recorded.setdefault(ident, Recorded(gateway, [], ""))
--- a/damsonstream/standins/clients.py
+++ b/damsonstream/standins/clients.py
@@ -78,8 +78,8 @@
     def took(self, data: bytes) -> None:
         try:
             finals = self.answers.feed(data)
-        except wire.ProtocolError as fault:
-            self.front.report_violation(f"{self.name} sent a malformed record: {fault}")
+        except wire.ProtocolError as error:
+            self.front.report_violation(f"{self.name} sent a malformed record: {error}")
             self.end("malformed")
             return
         for final in finals:
@@ -154,7 +154,10 @@
                 await anyio.sleep(0.05)
 
     def pick(self, viewer: int) -> GatewayLink | None:
-        """Chooses a gateway, and its connection with the fewest open GETs, if it has a free stream."""
+        """Chooses a connected gateway by viewer or by weight, and its connection with the fewest open GETs.
+
+        Returns None if no gateway is connected or the connection has no free stream.
+        """
         up = [name for name, pool in self.links.items() if any(not link.reason for link in pool)]
         if not up:
             return None
@@ -216,26 +219,26 @@
         finally:
             self.open -= 1
 
-    def send(self, link: GatewayLink, arrival: Arrival, further: int, left: float) -> Open:
+    def send(self, connection: GatewayLink, arrival: Arrival, retry: int, remaining: float) -> Open:
         ident = f"{self.rng.getrandbits(64):016x}"
-        get = Try(ident, link.name, arrival.offer.name, arrival.thing, self.now(), further)
+        get = Try(ident, connection.name, arrival.offer.name, arrival.thing, self.now(), retry)
         self.tries.append(get)
         request = Open(get, asyncio.get_running_loop().create_future())
-        id = link.next_id()
-        link.open[id] = request
+        id = connection.next_id()
+        connection.open[id] = request
         fields = {
             "SCRIPT_NAME": f"/v1/{arrival.offer.name}",
             "HTTP_X_TXN": ident,
             "HTTP_X_ROW": arrival.thing,
-            "HTTP_X_TTL_MS": str(max(1, min(arrival.offer.patience_ms, int(left * 1000)))),
+            "HTTP_X_TTL_MS": str(max(1, min(arrival.offer.patience_ms, int(remaining * 1000)))),
             "HTTP_X_SLICE": str(arrival.part),
             "HTTP_X_SET": str(self.catalogue.group(arrival.thing)),
         }
         if arrival.token:
             fields["HTTP_X_TXN_KEY"] = arrival.token
-        if further:
+        if retry:
             fields["HTTP_X_SECOND_TRY"] = "1"
-        link.send(wire.encode_get(id, fields))
+        connection.send(wire.encode_get(id, fields))
         return request
 
     def give_up(self, connection: GatewayLink, request: Open) -> None:
@@ -268,6 +271,7 @@
             get.stamp = int(stamp)
 
     def close(self) -> None:
+        """Closes all connections and opens no new ones."""
         self.closing = True
         for connections in self.links.values():
             for connection in list(connections):
--- a/damsonstream/standins/servers.py
+++ b/damsonstream/standins/servers.py
@@ -164,8 +164,8 @@
                     copy, note = await fill_function()
                 self.shelf.keep(key, copy)
                 future.set_result((copy, note))
-            except FillError as fault:
-                future.set_exception(fault)
+            except FillError as error:
+                future.set_exception(error)
             except TimeoutError:
                 future.set_exception(FillError("src_broke"))
             finally:
@@ -187,8 +187,8 @@
             )
         try:
             copy, _ = await asyncio.shield(running)
-        except FillError as fault:
-            raise FillError("origin_failed") from fault
+        except FillError as error:
+            raise FillError("origin_failed") from error
         return copy, "via_origin"
 
 
@@ -215,8 +215,8 @@
         try:
             for command in self.commands.feed(data):
                 self.obey(command)
-        except wire.ProtocolError as fault:
-            self.node.world.report_violation(f"{self.node.name} received a malformed command: {fault}")
+        except wire.ProtocolError as error:
+            self.node.world.report_violation(f"{self.node.name} received a malformed command: {error}")
             self.end("malformed")
 
     def obey(self, command: wire.Command) -> None:
@@ -244,8 +244,8 @@
                 answer_fields["gauges"] = f"inflight:{node.in_progress}"
                 if command.ident in self.open_gets and not node.condition().down:
                     self.send(wire.encode_answer(command.ident, word, answer_fields, body))
-        except (KeyError, ValueError) as fault:
-            stand_ins.report_violation(f"{node.name} received unusable fields: {fault}")
+        except (KeyError, ValueError) as error:
+            stand_ins.report_violation(f"{node.name} received unusable fields: {error}")
             self.send(wire.encode_answer(command.ident, "crashed", {}))
         finally:
             self.open_gets.pop(command.ident, None)
@@ -287,10 +287,10 @@
             started_at = stand_ins.now()
             try:
                 copy, note, waited = await self.fill(key, group, size, fields, source, max_age, started_at)
-            except FillError as fault:
-                answer_fields = {"res": str(fault), "took": f"{(stand_ins.now() - started_at) * 1000:.0f}"}
+            except FillError as error:
+                answer_fields = {"res": str(error), "took": f"{(stand_ins.now() - started_at) * 1000:.0f}"}
                 return (
-                    {"src_lacks": "not_here", "src_refused": "overload"}.get(str(fault), "crashed"),
+                    {"src_lacks": "not_here", "src_refused": "overload"}.get(str(error), "crashed"),
                     answer_fields,
                     b"",
                 )
--- a/damsonstream/standins/shelf.py
+++ b/damsonstream/standins/shelf.py
@@ -19,7 +19,7 @@
 
     stamp: int  # when the origin served it
     size: int  # bytes
-    group: int
+    group: int  # purge group
 
     @property
     def version(self) -> str:
@@ -30,13 +30,12 @@
     """An LRU cache of copies, bounded in bytes."""
 
     def __init__(self, max_bytes: int) -> None:
-        self.max_bytes = max_bytes  # bytes
+        self.max_bytes = max_bytes
         self.copies: OrderedDict[Key, Copy] = OrderedDict()  # least recently used first
         self.used_bytes = 0
         self.hits = self.misses = 0
-        self.purges: OrderedDict[str | int, int] = (
-            OrderedDict()
-        )  # object or group: when issued; the oldest are dropped first
+        # Time of issue by object or group; the oldest are dropped first.
+        self.purges: OrderedDict[str | int, int] = OrderedDict()
 
     def find(self, key: Key, now: int, max_age: int) -> Copy | None:
         """Returns the copy if it is at most `max_age` milliseconds old; 0: of any age."""
@@ -49,6 +48,7 @@
         return copy
 
     def keep(self, key: Key, copy: Copy) -> None:
+        """Stores a copy, unless it was purged meanwhile, and evicts others to stay within the bound."""
         purged = max(self.purges.get(key[1], 0), self.purges.get(copy.group, 0))
         if copy.stamp < purged:  # it was in transit when it was purged
             return
@@ -56,8 +56,8 @@
         self.used_bytes += copy.size - (old.size if old else 0)
         self.copies[key] = copy
         while self.used_bytes > self.max_bytes and len(self.copies) > 1:
-            _, gone = self.copies.popitem(last=False)
-            self.used_bytes -= gone.size
+            _, evicted = self.copies.popitem(last=False)
+            self.used_bytes -= evicted.size
 
     def purge(self, object_id: str, group: int, issued: int) -> int:
         """Drops the copies older than the purge, and returns their number."""
@@ -82,7 +82,7 @@
     """Records the effects of tokened GETs at the origin, to check rule 2 (no effect runs twice)."""
 
     def __init__(self, memory_seconds: float) -> None:
-        self.memory_seconds = memory_seconds  # seconds for which a token is remembered
+        self.memory_seconds = memory_seconds
         self.recent: OrderedDict[str, float] = OrderedDict()  # token: when it ran, in seconds; expires
         self.runs = 0
         self.repeats = 0  # recognized repeats, which did not run again
--- a/damsonstream/standins/traffic.py
+++ b/damsonstream/standins/traffic.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """A GET that a viewer is to send; `thing` is the object's id."""
+    """A GET that a viewer sends; `obj` is the object's id."""
 
     at: float  # seconds since the start of the run
     viewer: int
--- a/damsonstream/together/checks.py
+++ b/damsonstream/together/checks.py
@@ -87,6 +87,7 @@
         return [one for one in span if not check.of or check.of in (one.cache, one.source)]
 
     def messages_matching(self, check: Check, kind: type[wire.Item]) -> list[tuple[str, wire.Item]]:
+        """Returns the items of a kind that were sent in the check's span, each with its sender."""
         return [
             (by, item)
             for at, by, item in self.told
@@ -94,18 +95,22 @@
         ]
 
     def gets_matching(self, check: Check) -> list[Tried]:
+        """Returns the viewers' GETs that were sent in the check's span to its gateway, or to any."""
         return [t for t in self.tries if check.start <= t.at < check.end and check.of in ("", t.gateway)]
 
 
 def forward_count(check: Check, seen: Seen) -> float:
+    """Counts the forwards that used a node as cache or source."""
     return len(seen.forwards_matching(check))
 
 
 def forwarding_gateways(check: Check, seen: Seen) -> float:
+    """Counts the gateways that sent such forwards."""
     return len({forward.gateway for forward in seen.forwards_matching(check)})
 
 
 def peak_forwards(check: Check, seen: Seen) -> float:
+    """Returns the largest number of such forwards per second."""
     return peak_per_second(sorted(forward.at for forward in seen.forwards_matching(check)))
 
 
@@ -117,6 +122,7 @@
 
 
 def peak_per_second(times: list[float]) -> float:
+    """Returns the largest number of times within one second."""
     maximum, first = 0, 0
     for last, at in enumerate(sorted(times)):
         while times[first] <= at - 1.0:
@@ -131,6 +137,7 @@
 
 
 def spilled_fill_count(check: Check, seen: Seen) -> float:
+    """Counts the fills that a zone received from other zones."""
     return len(spilled_fills(check, seen))
 
 
@@ -149,6 +156,7 @@
 
 
 def fill_count(check: Check, seen: Seen) -> float:
+    """Counts the fills requested from a node or from all parents of a zone."""
     return sum(check.start <= one.at < check.end and check.of in ("", one.source, one.source_zone)
                for one in seen.fills)  # fmt: skip
 
@@ -194,6 +202,8 @@
 
 
 def outcome_share(outcome: str) -> Callable[[Check, Seen], float]:
+    """Returns a measurement of the share of viewers' GETs that had the outcome."""
+
     def measure(check: Check, seen: Seen) -> float:
         gets = seen.gets_matching(check)
         return sum(one.outcome == outcome for one in gets) / len(gets) if gets else 0.0
@@ -224,7 +234,8 @@
 def trialling_gateways(check: Check, seen: Seen) -> float:
     """Counts the gateways that announced a trial of the source."""
     return len({item.by for _, item in seen.messages_matching(check, wire.Trial)
-                if isinstance(item, wire.Trial) and item.source == seen.known.get(check.of)})  # fmt: skip
+                if isinstance(item, wire.Trial)
+                and item.source == seen.known.get(check.of)})  # fmt: skip
 
 
 def max_sources_trialled(check: Check, seen: Seen) -> float:
@@ -257,6 +268,7 @@
 
 
 def connection_count(check: Check, seen: Seen) -> float:
+    """Counts the connections that gateways opened to a node."""
     return sum(check.start <= at < check.end and check.of in ("", b) for at, _, b in seen.opened)
 
 
--- a/damsonstream/together/figures.py
+++ b/damsonstream/together/figures.py
@@ -17,9 +17,9 @@
 def homes(script: Script) -> tuple[Callable[[int], int], list[int]]:
     """Returns a function from gateway index to shop index, and the number of gateways of each shop."""
     if not script.zones:
-        return (lambda place: 0), [len(script.gateways)]
+        return (lambda index: 0), [len(script.gateways)]
     shop_by_gateway = {name: shop for shop, zone in enumerate(script.zones) for name in zone.gateways}
-    return (lambda place: shop_by_gateway[script.gateways[place]]), [
+    return (lambda index: shop_by_gateway[script.gateways[index]]), [
         len(zone.gateways) for zone in script.zones
     ]
 
--- a/damsonstream/together/links.py
+++ b/damsonstream/together/links.py
@@ -11,10 +11,8 @@
 from dataclasses import dataclass
 
 KINDS = ("cut", "one-way", "split", "drop", "delay", "jitter", "repeat", "hold", "break")
-SHARE_KINDS = (
-    "drop",
-    "repeat",
-)  # their amount is a share from 0 to 1; that of delay and jitter is milliseconds
+# The kinds whose amount is a share from 0 to 1; that of delay and jitter is in milliseconds.
+SHARE_KINDS = ("drop", "repeat")
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,6 +35,7 @@
         return self.start + self.lasts
 
     def meets(self, a: str, b: str) -> bool:
+        """Returns whether the fault affects the link from `a` to `b`."""
         if self.kind in ("cut", "split", "break"):
             a_groups = [n for n, group in enumerate(self.groups) if a in group]
             b_groups = [n for n, group in enumerate(self.groups) if b in group]
@@ -57,13 +56,15 @@
     jitter: float = 0.0
     repeat: float = 0.0
     hold: float = 0.0  # time until which messages are held back; 0: they are not
-    broken: bool = False
+    broken: bool = False  # a `break` fault is active
 
 
 CLEAR = LinkCondition()
 
 
 class Links:
+    """The links between all processes of a run, with their scripted faults."""
+
     def __init__(self, faults: Iterable[LinkFault] = ()) -> None:
         self.faults = sorted(faults, key=lambda fault: (fault.start, fault.kind))
 
--- a/damsonstream/together/relay.py
+++ b/damsonstream/together/relay.py
@@ -100,9 +100,8 @@
                 self.deliver(sender, receiver, data)
 
     def deliver(self, sender: str, receiver: str, data: bytes) -> None:
-        transport = self.sockets[
-            receiver, sender
-        ].transport  # its address is the one that the receiver knows the sender by
+        # the receiver knows the sender by the address of this socket
+        transport = self.sockets[receiver, sender].transport
         if transport is not None and not transport.is_closing():
             transport.sendto(data, self.gateway_addresses[receiver])
 
@@ -147,12 +146,12 @@
     def data_received(self, data: bytes) -> None:
         self.stream.relay(self, data)
 
-    def connection_lost(self, fault: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         self.stream.ends.discard(self)
         if self.from_gateway:
             self.stream.closed_at.append(self.stream.clock())
         if self.peer is not None and self.peer.transport is not None:
-            self.peer.transport.abort() if fault else self.peer.transport.close()
+            self.peer.transport.abort() if error else self.peer.transport.close()
 
     def write(self, data: bytes) -> None:
         if self.transport is None:
--- a/damsonstream/together/rig.py
+++ b/damsonstream/together/rig.py
@@ -58,8 +58,8 @@
         self.datagrams = DatagramRelay(self.names, self.links, self.world.now, random.Random(seed + 3))
         self.node_streams: dict[tuple[str, str], StreamRelay] = {}
         self.discovery_streams: dict[str, StreamRelay] = {}
-        self.scenario = Scenario(script.name, script.about, script.lasts, script.rate, len(self.names),
-                                 script.caches, script.hubs, (), ())  # fmt: skip
+        self.scenario = Scenario(script.name, script.about, script.lasts, script.rate,
+                                 len(self.names), script.caches, script.hubs, (), ())  # fmt: skip
         features = "".join(f"    {name} #{str(name not in without).lower()}\n" for name in PIECES)
         operator = f"peers {{\n{features}}}\n" + ('tiers "tiers.kdl"\n' if script.zones else "")
         self.fleet = Fleet(folder, folder / "records", self.names, (), self.gateway_config, operator)
@@ -219,8 +219,8 @@
         """Copies the logs of the relays, stand-ins and viewers into the observations."""
         seen, stand_ins = self.seen, self.world
         seen.tries = [Tried(get.sent, get.gateway, get.outcome) for get in self.front.tries]
-        seen.told = [(passed.at, passed.a, item) for passed, item in self.datagrams.items()]
-        seen.datagrams = [(passed.at, passed.a, len(passed.data)) for passed in self.datagrams.log]
+        seen.told = [(sent.at, sent.a, item) for sent, item in self.datagrams.items()]
+        seen.datagrams = [(sent.at, sent.a, len(sent.data)) for sent in self.datagrams.log]
         seen.opened = [(at, a, b) for (a, b), stream in self.node_streams.items() for at in stream.opened_at]
         seen.closed = [(at, a, b) for (a, b), stream in self.node_streams.items() for at in stream.closed_at]
         seen.known = {node.name: source_id(node.uid) for node in stand_ins.nodes.values()}
--- a/damsonstream/together/script.py
+++ b/damsonstream/together/script.py
@@ -70,13 +70,12 @@
     caches: int
     hubs: int
     warm_up: float  # seconds until a restarted cache is warm, as configured in the gateways
-    cold_start: tuple[
-        float, float
-    ]  # gateway settings: share of its capacity that a cold cache starts with, and its overload multiple
+    # Gateway settings: the share of its capacity that a cold cache starts with, and its overload multiple.
+    cold_start: tuple[float, float]
     lanes: int  # GETs that a cache processes at once
     memory: int  # capacity of a cache in bytes
     zones: tuple[Zone, ...]  # empty: one shop and no hierarchy
-    origin_cap: float
+    origin_cap: float  # fills per second that the origin may receive directly from caches; 0: unlimited
     nodes: tuple[Fault, ...]
     links: tuple[links.LinkFault, ...]
     steps: tuple[Step, ...]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -45,7 +45,7 @@
 class Desk:
     """Drives one router and records its decisions as short lines of text.
 
-    `legs` is the number of attempts of each GET; traces call an attempt by its index a leg.
+    `attempts` holds the number of attempts (forwards) of each GET; the index of an attempt is its leg.
     """
 
     def __init__(self, nodes: str = "c1 c2 p1 p2 o", **changes: Any) -> None:
@@ -59,6 +59,7 @@
         self.lines.append(f"{self.now / 10:.1f} {text}")
 
     def tell(self, event: i.Event) -> list[i.Action]:
+        """Passes an event to the router, and records and returns its actions."""
         actions = self.router.handle(self.now, event)
         for action in actions:
             match action:
@@ -84,6 +85,7 @@
         return actions
 
     def take(self, get: int, service: int = 0, thing: str = "", left: int = 0, group: int = 1) -> None:
+        """Passes a new GET with `left` ticks to the router; by default it has the viewer timeout."""
         left = left or FOOTPRINT.services[service].viewer_timeout
         self.say(f"GET {get} {FOOTPRINT.services[service].name} {thing or f'/o/{get}'}")
         self.tell(i.GetTaken(get, left, service, thing or f"/o/{get}", group, 0.0, False))
@@ -91,6 +93,7 @@
     def end(
         self, get: int, result: str, note: int = 0, leg: int = -1, took: int = 500, **load: float
     ) -> None:
+        """Ends an attempt of a GET, by default the last one; `load` are the load values of the answer."""
         leg = self.legs[get] - 1 if leg < 0 else leg
         self.say(f"GET {get} leg {leg} {result}" + f" note {note}" * (note > 0))
         cache, shared, first = self.sent[get, leg].cache, load.pop("shared", 0) > 0, int(load.pop("first", 0))
