--- a/damsonstream/demo/play.py
+++ b/damsonstream/demo/play.py
@@ -42,13 +42,13 @@
     """What happened in a run, as known without the gateways' records."""
 
     steps: list[Happened] = field(default_factory=list)
-    tries: list[Try] = field(default_factory=list)
+    tries: list[Try] = field(default_factory=list)  # every GET sent, retries included
     kills: list[tuple[str, float]] = field(default_factory=list)  # gateway, Unix seconds
     faults: list[str] = field(default_factory=list)  # protocol violations that stand-ins observed
     doubles: list[str] = field(default_factory=list)  # tokens that ran twice
     codes: dict[str, int] = field(default_factory=dict)  # exit codes of gateways
-    unsent: int = 0
-    max_send_delay: float = 0.0
+    unsent: int = 0  # GETs that could not be sent
+    late_start: float = 0.0  # largest delay of a GET behind its intended time, in seconds
     began: float = 0.0  # Unix seconds
     uids: dict[str, str] = field(default_factory=dict)  # ids on the wire by node name
 
@@ -150,7 +150,7 @@
             stand_ins.close()
         truth = self.truth
         truth.steps.sort(key=lambda one: (one.start, one.step.does))
-        truth.tries, truth.unsent, truth.max_send_delay = (
+        truth.tries, truth.unsent, truth.late_start = (
             generator.tries,
             generator.unsent,
             generator.max_send_delay,
