--- a/damsonstream/demo/fleet.py
+++ b/damsonstream/demo/fleet.py
@@ -65,7 +65,7 @@
         """Prepares the processes; starts none.
 
         `config_for` returns a gateway's current configuration except its name, address and seed;
-        `operator_kdl` is KDL that is appended to the `records` section of each operator file.
+        `operator_kdl` is KDL that follows the `records` section in each operator file.
         """
         self.operator_kdl = operator_kdl
         self.folder, self.records_folder, self.names, self.config_for = folder, records, names, config_for
