--- a/damsonstream/emulator/baselines.py
+++ b/damsonstream/emulator/baselines.py
@@ -1,8 +1,10 @@
-"""Plain policies in the router's place, to measure against: no breaker, no cold budget, no line. No I/O.
+"""Baseline policies that take the router's place in experiments, for comparison. No I/O.
 
-How it is called: `maker(name, seed)` gives what makes one for each gateway; `NAMES` are the known ones. Each
-answers the router's events (routing/interface.py). They keep the effect kinds and answer in time, so that
-what differs is where GETs go, whether they go again, and what is shed.
+Usage: `maker(name, seed)` returns a factory that makes the policy of each gateway; `NAMES` lists the known
+ones. A policy handles the router's events (routing/interface.py). The plain ones have no circuit breaker, no
+slow start for cold caches and no queue. They follow the same rules for effects and answer within the viewer
+timeout, so that the comparison shows only where GETs are forwarded, whether they are retried, and what is
+shed.
 """
 
 from __future__ import annotations
@@ -11,120 +13,134 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from damsonstream.emulator.gateway import Decides
+from damsonstream.emulator.gateway import EventHandler
 from damsonstream.routing import interface as i
 from damsonstream.routing.router import Router
 
-MECHANISM, NO_BREAKER = "mechanism", "no breaker"
-FURTHER = {"random": 1, "round robin": 1, "least loaded": 1, "fixed retry": 5}  # forwards after the first
-NAMES = (MECHANISM, NO_BREAKER, *FURTHER)
+DEFAULT_ROUTER, NO_BREAKER = "mechanism", "no breaker"  # "mechanism" is the real router
+MAX_RETRIES = {"random": 1, "round robin": 1, "least loaded": 1, "fixed retry": 5}  # forwards after the first
+NAMES = (DEFAULT_ROUTER, NO_BREAKER, *MAX_RETRIES)
 
 
 @dataclass(slots=True, eq=False)
-class Get:
+class PendingGet:
     id: int
     service: i.DeliveryService
-    end: int
-    legs: int = 0
-    ran: int = -1  # when the first forward that may have run went out
-    out: set[int] = field(default_factory=set)
+    deadline: int
+    attempts: int = 0
+    executed_at: int = -1  # when the first forward that may have executed was sent; -1: none
+    in_flight: set[int] = field(default_factory=set)
 
 
-class Plain:
-    def __init__(self, how: str, seed: int) -> None:
-        self.how, self.chance = how, random.Random(seed)
-        self.gets: dict[int, Get] = {}  # emptied by final answers
-        self.entries: dict[str, i.Entry] = {}  # as long as the list
-        self.load: dict[str, int] = {}  # forwards out, by cache and source
-        self.legs: dict[tuple[int, int], tuple[str, str]] = {}  # emptied by the end of each forward
-        self.turn = 0
+class PlainPolicy:
+    """Picks caches and sources by one fixed strategy, with a fixed number of retries."""
+
+    def __init__(self, strategy: str, seed: int) -> None:
+        self.strategy, self.rng = strategy, random.Random(seed)
+        self.gets: dict[int, PendingGet] = {}  # removed at the final answer
+        self.entries: dict[str, i.Entry] = {}  # bounded by the list of caches
+        self.load: dict[str, int] = {}  # forwards in flight, by cache and source
+        self.attempts: dict[tuple[int, int], tuple[str, str]] = {}  # removed as each forward ends
+        self.next_index = 0
 
     def handle(self, now: int, event: i.Event) -> list[i.Action]:
         match event:
             case i.Started():
-                self.told = event.footprint
-                self.turn = self.chance.randrange(1000)
+                self.footprint = event.footprint
+                self.next_index = self.rng.randrange(1000)
             case i.ListTold():
                 if event.kind != "changes":
                     self.entries = {}
                 self.entries |= {entry.cache: entry for entry in event.entries}
             case i.GetTaken():
-                service = self.told.services[event.service]
-                get = self.gets[event.get] = Get(event.get, service, now + event.left - self.told.tick)
-                return [*self.forward(now, get), i.Wake(max(1, get.end - now))]
+                service = self.footprint.services[event.service]
+                get = self.gets[event.get] = PendingGet(
+                    event.get, service, now + event.left - self.footprint.tick
+                )
+                return [*self.forward(now, get), i.Wake(max(1, get.deadline - now))]
             case i.ForwardEnded():
-                return self.ended(now, event)
+                return self.on_forward_ended(now, event)
             case i.ClientLeft():
                 left = self.gets.pop(event.get, None)
-                return [i.Recall(left.id, leg) for leg in sorted(left.out)] if left else []
+                return [i.Recall(left.id, attempt) for attempt in sorted(left.in_flight)] if left else []
             case i.Woken():
-                due = [get for get in self.gets.values() if get.end <= now]
+                due = [get for get in self.gets.values() if get.deadline <= now]
                 return [action for get in due for action in self.give_up(get)]
         return []
 
-    def nodes(self, model: str) -> list[str]:
-        """Of that model, active; caches of the own location only."""
+    def active_nodes(self, model: str) -> list[str]:
+        """Returns the active nodes of a model; for caches only those of the gateway's own location."""
         active = [entry for entry in self.entries.values() if entry.state == "active"]
         if model == "cache":
-            return [entry.cache for entry in active if entry.location == self.told.location]
+            return [entry.cache for entry in active if entry.location == self.footprint.location]
         return [entry.cache for entry in active if entry.model == model]
 
     def pick(self, names: list[str]) -> str:
-        if self.how == "round robin":
-            self.turn += 1
-            return names[self.turn % len(names)]
-        if self.how == "least loaded":
+        if self.strategy == "round robin":
+            self.next_index += 1
+            return names[self.next_index % len(names)]
+        if self.strategy == "least loaded":
             least = min(self.load.get(name, 0) for name in names)
             names = [name for name in names if self.load.get(name, 0) == least]
-        return names[int(self.chance.random() * len(names))]
+        return names[int(self.rng.random() * len(names))]
 
-    def forward(self, now: int, get: Get) -> list[i.Action]:
-        caches = self.nodes("cache")
-        sources = self.nodes(self.told.parent_model) or self.nodes(self.told.origin_model)
+    def forward(self, now: int, get: PendingGet) -> list[i.Action]:
+        caches = self.active_nodes("cache")
+        sources = self.active_nodes(self.footprint.parent_model) or self.active_nodes(
+            self.footprint.origin_model
+        )
         if not caches or not sources:
             return self.give_up(get)
         cache, source = self.pick(caches), self.pick(sources)
         for name in (cache, source):
             self.load[name] = self.load.get(name, 0) + 1
-        self.legs[get.id, get.legs] = cache, source
-        get.out.add(get.legs)
-        get.legs += 1
-        if get.service.effect != "idempotent" and get.ran < 0:
-            get.ran = now
-        return [i.Forward(get.id, cache, source, 1, 0, 0, self.told.joins, False, False)]
-
-    def ended(self, now: int, event: i.ForwardEnded) -> list[i.Action]:
-        for name in self.legs.pop((event.get, event.leg), ()):
+        self.attempts[get.id, get.attempts] = cache, source
+        get.in_flight.add(get.attempts)
+        get.attempts += 1
+        if get.service.effect != "idempotent" and get.executed_at < 0:
+            get.executed_at = now
+        return [i.Forward(get.id, cache, source, 1, 0, 0, self.footprint.joins, False, False)]
+
+    def on_forward_ended(self, now: int, event: i.ForwardEnded) -> list[i.Action]:
+        for name in self.attempts.pop((event.get, event.leg), ()):
             self.load[name] -= 1
         get = self.gets.get(event.get)
         if get is None:
             return []
-        get.out.discard(event.leg)
+        get.in_flight.discard(event.leg)
         if event.over:
             del self.gets[event.get]
             return []
         if event.result in ("shed", "lacking", "unreached", "unsent"):
-            get.ran = -1
-        fits = get.legs <= FURTHER[self.how] and now < get.end
-        return self.forward(now, get) if fits and self.may_repeat(now, get) else self.give_up(get)
+            get.executed_at = -1
+        retry_left = get.attempts <= MAX_RETRIES[self.strategy] and now < get.deadline
+        return self.forward(now, get) if retry_left and self.may_retry(now, get) else self.give_up(get)
+
+    def may_retry(self, now: int, get: PendingGet) -> bool:
+        """Returns whether another forward can't cause a second effect.
 
-    def may_repeat(self, now: int, get: Get) -> bool:
-        if get.ran < 0 or get.service.effect == "idempotent":
+        A tokened GET is retried only if its token is known to all caches (scope `all`) and still remembered.
+        """
+        if get.executed_at < 0 or get.service.effect == "idempotent":
             return True
-        known = now + self.told.tick < get.ran + get.service.remembered
-        return get.service.effect == "tokened" and get.service.scope == "all" and known
+        remembered = now + self.footprint.tick < get.executed_at + get.service.remembered
+        return get.service.effect == "tokened" and get.service.scope == "all" and remembered
+
+    def give_up(self, get: PendingGet) -> list[i.Action]:
+        """Returns the final answer, or nothing while forwards are in flight.
 
-    def give_up(self, get: Get) -> list[i.Action]:
-        if get.out:
+        The answer is `shed` where the client may safely send the GET again, else `errored`.
+        """
+        if get.in_flight:
             return []
         self.gets.pop(get.id, None)
         effect, scope = get.service.effect, get.service.scope
-        harmless = get.ran < 0 or effect == "idempotent" or (effect, scope) == ("tokened", "all")
-        return [i.Shed(get.id, 0) if harmless else i.Errored(get.id)]
+        safe = get.executed_at < 0 or effect == "idempotent" or (effect, scope) == ("tokened", "all")
+        return [i.Shed(get.id, 0) if safe else i.Errored(get.id)]
 
 
 class NoBreaker:
-    """The router, whose breakers never stay open."""
+    """The real router with circuit breakers that are closed again after every event."""
 
     def __init__(self) -> None:
         self.router = Router()
@@ -137,10 +153,10 @@
         return actions
 
 
-def maker(name: str, seed: int) -> Callable[[int], Decides]:
-    """What makes one for the gateway at each place."""
-    if name == MECHANISM:
-        return lambda place: Router()
+def maker(name: str, seed: int) -> Callable[[int], EventHandler]:
+    """Returns a function that makes the policy for the gateway at a given index."""
+    if name == DEFAULT_ROUTER:
+        return lambda index: Router()
     if name == NO_BREAKER:
-        return lambda place: NoBreaker()
-    return lambda place: Plain(name, seed * 7919 + place)
+        return lambda index: NoBreaker()
+    return lambda index: PlainPolicy(name, seed * 7919 + index)
--- a/damsonstream/emulator/engine.py
+++ b/damsonstream/emulator/engine.py
@@ -1,9 +1,10 @@
-"""Discrete events in virtual time, and processes that wait in it. No I/O, no clock, no chance of its own.
+"""Discrete-event engine in virtual time, with processes as generators. No I/O, no real clock, no randomness.
 
-How it is called: `at(when, what)` and `after(wait, what)` set an event, `until(when)` plays all that is due
-by then; events at one instant go in the order in which they were set. `begin(process)` starts a generator
-that yields what it waits for: a number of ticks, or a `Signal`; a nested one goes on by `yield from`. Times
-are whole tenths of a millisecond, so that no clock drifts.
+Usage: `at(time, callback)` and `after(delay, callback)` schedule an event, `run_until(time)` runs all events
+that are due by then; events of the same instant run in the order in which they were scheduled.
+`spawn(process)` starts a generator that yields what it waits for: a number of ticks or a `Signal`; it calls
+another one by `yield from`. A tick is a tenth of a millisecond; times are whole ticks, so that no rounding
+error accumulates.
 """
 
 from __future__ import annotations
@@ -13,118 +14,119 @@
 from heapq import heappop, heappush
 from typing import Any, TypeVar
 
-MS, S = 10, 10_000
+MS, S = 10, 10_000  # ticks
 T = TypeVar("T")
 
 
 class Engine:
     def __init__(self) -> None:
-        self.now, self.serial, self.played = 0, 0, 0
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []  # emptied by time
+        self.now, self.sequence, self.executed = 0, 0, 0
+        self.heap: list[tuple[int, int, Callable[[], None]]] = []  # events not run yet
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
-        self.serial += 1
-        heappush(self.heap, (max(when, self.now), self.serial, what))
+    def at(self, time: int, callback: Callable[[], None]) -> None:
+        self.sequence += 1
+        heappush(self.heap, (max(time, self.now), self.sequence, callback))
 
-    def after(self, wait: int, what: Callable[[], None]) -> None:
-        self.at(self.now + wait, what)
+    def after(self, delay: int, callback: Callable[[], None]) -> None:
+        self.at(self.now + delay, callback)
 
-    def until(self, when: int) -> None:
+    def until(self, time: int) -> None:
         heap = self.heap
-        while heap and heap[0][0] <= when:
-            self.now, _, what = heappop(heap)
-            self.played += 1
-            what()
-        self.now = when
+        while heap and heap[0][0] <= time:
+            self.now, _, callback = heappop(heap)
+            self.executed += 1
+            callback()
+        self.now = time
 
-    def begin(self, process: Process[Any]) -> Task:
+    def spawn(self, process: Process[Any]) -> Task:
         task = Task(self, process)
         task.step(None)
         return task
 
 
 class Signal:
-    """Something that will be known: `set` once; those that wait for it go on at that instant, in order."""
+    """A one-shot event with a value; `set` resumes the waiting tasks at that instant, in FIFO order."""
 
-    __slots__ = ("engine", "known", "value", "waiting")
+    __slots__ = ("engine", "is_set", "value", "waiters")
 
     def __init__(self, engine: Engine) -> None:
-        self.engine, self.known, self.value = engine, False, None
-        self.waiting: list[Task] = []
+        self.engine, self.is_set, self.value = engine, False, None
+        self.waiters: list[Task] = []
 
     def set(self, value: Any = None) -> None:
-        if self.known:
+        if self.is_set:
             return
-        self.known, self.value = True, value
-        for task in self.waiting:
-            self.engine.after(0, task.waker(value))
-        self.waiting = []
+        self.is_set, self.value = True, value
+        for task in self.waiters:
+            self.engine.after(0, task.resumer(value))
+        self.waiters = []
 
 
 Process = Generator["int | Signal", Any, T]
 
 
 class Task:
-    """A process that runs. Once cancelled it never goes on; its `finally` parts are played at once."""
+    """A running process. `cancel` runs its `finally` blocks at once and it never resumes."""
 
-    __slots__ = ("engine", "over", "process", "turn")
+    __slots__ = ("engine", "finished", "process", "steps")
 
     def __init__(self, engine: Engine, process: Process[Any]) -> None:
-        self.engine, self.process, self.over, self.turn = engine, process, False, 0
+        self.engine, self.process, self.finished, self.steps = engine, process, False, 0
 
-    def waker(self, value: Any = None) -> Callable[[], None]:
-        turn = self.turn
+    def resumer(self, value: Any = None) -> Callable[[], None]:
+        """Returns a callback that resumes the task, unless it was resumed by another one before."""
+        steps = self.steps
 
-        def wake() -> None:
-            if not self.over and self.turn == turn:
+        def resume() -> None:
+            if not self.finished and self.steps == steps:
                 self.step(value)
 
-        return wake
+        return resume
 
     def step(self, value: Any) -> None:
-        self.turn += 1
+        self.steps += 1
         try:
             wait = self.process.send(value)
         except StopIteration:
-            self.over = True
+            self.finished = True
             return
         if not isinstance(wait, Signal):
-            self.engine.after(wait, self.waker())
-        elif wait.known:
-            self.engine.after(0, self.waker(wait.value))
+            self.engine.after(wait, self.resumer())
+        elif wait.is_set:
+            self.engine.after(0, self.resumer(wait.value))
         else:
-            wait.waiting.append(self)
+            wait.waiters.append(self)
 
     def cancel(self) -> None:
-        if not self.over:
-            self.over = True
+        if not self.finished:
+            self.finished = True
             self.process.close()
 
 
-class Lanes:
-    """So many at once; the rest wait in the order in which they came."""
+class Semaphore:
+    """Limits how many processes hold a slot at once; the rest wait in FIFO order."""
 
     def __init__(self, engine: Engine, count: int) -> None:
         self.engine, self.free = engine, count
-        self.line: deque[Signal] = deque()
+        self.queue: deque[Signal] = deque()
 
-    def enter(self) -> Process[None]:
+    def acquire(self) -> Process[None]:
         if self.free > 0:
             self.free -= 1
             return
-        turn = Signal(self.engine)
-        self.line.append(turn)
+        granted = Signal(self.engine)
+        self.queue.append(granted)
         try:
-            yield turn
-        except GeneratorExit:  # cancelled: out of the line, or the lane that was just given goes on
-            if turn.known:
-                self.leave()
+            yield granted
+        except GeneratorExit:  # cancelled: passes a slot just granted on to the next, or leaves the queue
+            if granted.is_set:
+                self.release()
             else:
-                self.line.remove(turn)
+                self.queue.remove(granted)
             raise
 
-    def leave(self) -> None:
-        if self.line:
-            self.line.popleft().set()
+    def release(self) -> None:
+        if self.queue:
+            self.queue.popleft().set()
         else:
             self.free += 1
--- a/damsonstream/emulator/gateway.py
+++ b/damsonstream/emulator/gateway.py
@@ -1,11 +1,11 @@
-"""One gateway in virtual time: the real router, council and hierarchy, and around them what the program does.
+"""One gateway in virtual time: the real router, peer exchange and hierarchy in an emulated process.
 
-How it is called: `Gateway(play, place, name)` with `start()`, `kill()`, `stall()`, `resume()`; `take(...)`
-brings a viewer's GET and calls back with its final answer. What comes from outside goes through `run`, so
-that a gateway that stands still gets it later, in order, and a dead one never. Nothing is decided here.
+Usage: `Gateway(emulation, index, name)` with `start()`, `kill()`, `stall()` and `resume()`; `accept_get(...)`
+takes a viewer's GET and calls back with its final answer. Everything that arrives from outside goes through
+`dispatch`: a stalled gateway gets it later, in order, and a dead one never. No routing decision is made here.
 
-Left out, against the program: its processor time, limits of descriptors and buffers, and the bytes on each
-connection; connections are told by when they would be opened and closed.
+Not emulated, unlike in the real program: CPU time, limits of file descriptors and buffers, and the bytes on
+each connection. Of connections only the times of opening and closing are known.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from damsonstream.emulator.engine import MS, S, Task
-from damsonstream.emulator.nodes import UNIX, Answer, Command, Node, Purge
+from damsonstream.emulator.nodes import START_UNIX, Answer, Command, Node, Purge
 from damsonstream.peers.council import TURN, Council, source_id
 from damsonstream.peers.pieces import ZONES
 from damsonstream.routing import interface as i
@@ -29,345 +29,361 @@
 if TYPE_CHECKING:
     from damsonstream.emulator.play import Play
 
-LINK = 3  # ticks one way on loopback and through a relay
-TICK = 1_000  # between looks at the zones, as program/tiering.py has it
-PASSING, IDLE = S, 15 * S  # for which an unused connection is kept: transport/caches.py, a play's settings
-UP = S // 2  # a process needs so long to be ready, as those of `together` do on an idle machine
+ONE_WAY_DELAY = 3  # ticks on loopback and through a relay
+UPDATE_INTERVAL = 1_000  # ticks between updates of the hierarchy, as in program/tiering.py
+# Ticks for which an unused connection stays open: to caches that other gateways look after, as in
+# transport/caches.py, and to the gateway's own caches, as in the settings of a script's run.
+SHORT_IDLE, IDLE = S, 15 * S
+STARTUP_TIME = S // 2  # ticks until a process is ready, like those that `together` starts on an idle machine
 
 
-class Decides(Protocol):
-    """The router, or a baseline in its place."""
+class EventHandler(Protocol):
+    """The router, or a baseline policy in its place."""
 
     def handle(self, now: int, event: i.Event) -> list[i.Action]: ...
 
 
 @dataclass(slots=True, eq=False)
-class Leg:
-    """A forward that is out."""
+class Attempt:
+    """A forward in flight."""
 
-    number: int
+    index: int
     node: Node
-    sent: int
+    sent_at: int
     task: Task | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Life:
-    """One GET, from being taken to its final answer and the end of its last forward."""
+class ActiveGet:
+    """A GET, from its arrival to both its final answer and the end of its last forward."""
 
-    number: int
+    id: int
     service: str
-    thing: str
+    object_id: str
     token: str
-    end: int
-    answer: Callable[[str, int], None]  # outcome, ticks after which to come back
-    legs: int = 0
-    over: bool = False
-    out: dict[int, Leg] = field(default_factory=dict)
+    deadline: int
+    on_answer: Callable[[str, int], None]  # outcome, ticks after which to retry
+    attempts: int = 0
+    answered: bool = False  # or the viewer has left
+    in_flight: dict[int, Attempt] = field(default_factory=dict)
 
 
 class Gateway:
-    def __init__(self, play: Play, place: int, name: str) -> None:
-        self.play, self.engine, self.place, self.name = play, play.engine, place, name
-        self.alive, self.up, self.epoch, self.stalled = False, False, 0, False
-        self.waiting: list[Callable[[], None]] = []  # while it stands still
-        self.used: dict[str, tuple[int, int]] = {}  # connections: since when, last used; by node
-        self.serves = [one.name for one in play.footprint(place).services]
+    def __init__(self, emulation: Play, index: int, name: str) -> None:
+        self.emulation, self.engine, self.index, self.name = emulation, emulation.engine, index, name
+        self.alive, self.is_ready, self.incarnation, self.stalled = False, False, 0, False
+        self.deferred: list[Callable[[], None]] = []  # arrived while the process was stalled
+        self.connections: dict[str, tuple[int, int]] = {}  # by node: when opened, when last used
+        self.service_names = [one.name for one in emulation.footprint(index).services]
 
     def now(self) -> int:
-        return UNIX + self.engine.now
+        return START_UNIX + self.engine.now
 
-    # its process
+    # process
 
     def start(self) -> None:
-        play = self.play
-        self.epoch += 1
-        self.alive, self.up, self.stalled, self.waiting = True, False, False, []
-        self.lives: dict[int, Life] = {}  # emptied as they end
-        self.events: deque[i.Event] = deque()  # emptied at once
-        self.busy, self.numbers, self.told = False, 0, len(play.world.events)
-        self.wakes: list[int] = []  # emptied by time
-        self.armed = 0
-        told = play.footprint(self.place)
-        here = play.world.locations.index(told.location)
-        boot = (1000 * S + self.engine.now) // (S // 10)
-        self.council = Council(
-            self.name, self.place, told.gateways, here, told.location_gateways, boot, play.price,
-            play.seed * 1009 + self.place, self.now(), play.pieces,
+        emulation = self.emulation
+        self.incarnation += 1
+        self.alive, self.is_ready, self.stalled, self.deferred = True, False, False, []
+        self.gets: dict[int, ActiveGet] = {}  # removed as they end
+        self.events: deque[i.Event] = deque()  # not handled yet
+        self.handling, self.last_get_id, self.updates_read = False, 0, len(emulation.world.updates)
+        self.wakeups: list[int] = []  # heap of the times at which the router wants to be woken
+        self.timer_at = 0
+        footprint = emulation.footprint(self.index)
+        location = emulation.world.locations.index(footprint.location)
+        incarnation = (1000 * S + self.engine.now) // (S // 10)
+        self.coordinator = Council(
+            self.name, self.index, footprint.gateways, location, footprint.location_gateways, incarnation,
+            emulation.message_price, emulation.seed * 1009 + self.index, self.now(), emulation.features,
         )  # fmt: skip
-        self.service: Service | None = None
-        if play.hierarchy:
-            self.service = Service(self.council, self.place, self.now(), ZONES in play.pieces)
-            self.revise()
-        self.router: Decides = play.decides(self.place)
-        self.tell(i.Started(play.seed * 31 + self.place, told, self.council, self.service))
+        self.hierarchy: Service | None = None
+        if emulation.hierarchy:
+            self.hierarchy = Service(self.coordinator, self.index, self.now(), ZONES in emulation.features)
+            self.reload_hierarchy()
+        self.router: EventHandler = emulation.make_router(self.index)
+        self.handle_event(
+            i.Started(emulation.seed * 31 + self.index, footprint, self.coordinator, self.hierarchy)
+        )
         entries: dict[str, i.Entry] = {}
-        for news in play.world.events:
-            if not isinstance(news, Purge):
-                entries |= {entry.cache: entry for entry in news}
-        self.list_told("full", tuple(entries.values()))
-        for what, every in ((self.turn, TURN), (self.look, TICK)):
-            self.every(self.play.chance.randrange(every), every, what)
-        self.after(UP if self.epoch > 1 else 0, self.ready)
+        for update in emulation.world.updates:
+            if not isinstance(update, Purge):
+                entries |= {entry.cache: entry for entry in update}
+        self.apply_list("full", tuple(entries.values()))
+        for func, interval in ((self.exchange_with_peers, TURN), (self.update_hierarchy, UPDATE_INTERVAL)):
+            self.repeat(self.emulation.rng.randrange(interval), interval, func)
+        self.schedule(STARTUP_TIME if self.incarnation > 1 else 0, self.become_ready)
 
-    def ready(self) -> None:
-        self.up = True
+    def become_ready(self) -> None:
+        self.is_ready = True
 
     def kill(self) -> None:
-        """Gone at once: what it held is no longer its duty, and its connections are reset."""
-        self.alive = self.up = False
-        for life in self.lives.values():
-            for leg in life.out.values():
-                self.stop(leg)
-            if not life.over:
-                life.answer("lost", 0)
-        self.lives = {}
-        for name in list(self.used):
-            self.closed(name, self.engine.now)
+        """Ends the process at once: viewers lose their open GETs, and its connections are reset."""
+        self.alive = self.is_ready = False
+        for get in self.gets.values():
+            for attempt in get.in_flight.values():
+                self.cancel(attempt)
+            if not get.answered:
+                get.on_answer("lost", 0)
+        self.gets = {}
+        for name in list(self.connections):
+            self.close_connection(name, self.engine.now)
 
     def stall(self) -> None:
         self.stalled = True
 
     def resume(self) -> None:
-        self.stalled, waiting, self.waiting = False, self.waiting, []
-        for what in waiting:
-            what()
+        self.stalled, deferred, self.deferred = False, self.deferred, []
+        for callback in deferred:
+            callback()
 
-    def run(self, what: Callable[[], None]) -> None:
+    def dispatch(self, callback: Callable[[], None]) -> None:
+        """Runs the callback now, after the stall of a stalled process, or never in a dead one."""
         if self.alive and self.stalled:
-            self.waiting.append(what)
+            self.deferred.append(callback)
         elif self.alive:
-            what()
-
-    def after(self, wait: int, what: Callable[[], None]) -> None:
-        """Later, if it is still the same process then."""
-        epoch = self.epoch
-        self.engine.after(wait, lambda: self.run(what) if self.epoch == epoch else None)
-
-    def every(self, first: int, wait: int, what: Callable[[], None]) -> None:
-        def again() -> None:
-            what()
-            self.after(wait, again)
-
-        self.after(first, again)
-
-    # peers, hierarchy, list
-
-    def turn(self) -> None:
-        out, told = self.council.due(self.now())
-        for place, data in out:
-            self.play.datagram(self, place, data)
-        self.pass_on(told)
-
-    def heard(self, place: int, data: bytes) -> None:
-        self.pass_on(self.council.heard(self.now(), place, data))
-
-    def pass_on(self, told: list[i.PeersTold]) -> None:
-        for one in told:
-            self.tell(one)
-
-    def look(self) -> None:
-        if self.service is not None:
-            self.service.tick(self.now())
-
-    def revise(self) -> None:
-        """The hierarchy's file as it stands now."""
-        if self.service is not None:
-            shape = load.parse(kdl.parse(self.play.hierarchy, "tiers.kdl"))
-            if shape.revision != self.service.revisions.latest:
-                self.service.apply(self.now(), shape)
-
-    def catch_up(self) -> None:
-        """News of the list, as far as its way is clear."""
-        events = self.play.world.events
-        if self.told >= len(events):
+            callback()
+
+    def schedule(self, delay: int, callback: Callable[[], None]) -> None:
+        """Dispatches the callback after a delay, unless the process was restarted in between."""
+        incarnation = self.incarnation
+        self.engine.after(delay, lambda: self.dispatch(callback) if self.incarnation == incarnation else None)
+
+    def repeat(self, first_delay: int, interval: int, callback: Callable[[], None]) -> None:
+        def run_and_reschedule() -> None:
+            callback()
+            self.schedule(interval, run_and_reschedule)
+
+        self.schedule(first_delay, run_and_reschedule)
+
+    # peer exchange, hierarchy, list of caches
+
+    def exchange_with_peers(self) -> None:
+        datagrams, events = self.coordinator.due(self.now())
+        for index, data in datagrams:
+            self.emulation.send_datagram(self, index, data)
+        self.handle_peer_events(events)
+
+    def receive_datagram(self, sender: int, data: bytes) -> None:
+        self.handle_peer_events(self.coordinator.heard(self.now(), sender, data))
+
+    def handle_peer_events(self, events: list[i.PeersTold]) -> None:
+        for event in events:
+            self.handle_event(event)
+
+    def update_hierarchy(self) -> None:
+        if self.hierarchy is not None:
+            self.hierarchy.tick(self.now())
+
+    def reload_hierarchy(self) -> None:
+        """Applies the hierarchy's file where its revision is new."""
+        if self.hierarchy is not None:
+            shape = load.parse(kdl.parse(self.emulation.hierarchy, "tiers.kdl"))
+            if shape.revision != self.hierarchy.revisions.latest:
+                self.hierarchy.apply(self.now(), shape)
+
+    def read_updates(self) -> None:
+        """Reads the discovery watch up to its latest update, after the extra delay of its connection."""
+        updates = self.emulation.world.updates
+        if self.updates_read >= len(updates):
             return
-        if (wait := self.play.wait(self.name, "bulletin")) > 0:
-            return self.after(wait, self.catch_up)
-        news = events[self.told]
-        self.told += 1
-        if isinstance(news, Purge):
-            self.tell(i.Purged(news.thing, news.group, self.engine.now - news.issued))
+        if (delay := self.emulation.extra_delay(self.name, "bulletin")) > 0:
+            return self.schedule(delay, self.read_updates)
+        update = updates[self.updates_read]
+        self.updates_read += 1
+        if isinstance(update, Purge):
+            self.handle_event(i.Purged(update.object_id, update.group, self.engine.now - update.issued))
         else:
-            self.list_told("changes", news)
-        self.catch_up()
+            self.apply_list("changes", update)
+        self.read_updates()
 
-    def list_told(self, kind: str, entries: tuple[i.Entry, ...]) -> None:
-        self.tell(i.ListTold(kind, entries))
+    def apply_list(self, kind: str, entries: tuple[i.Entry, ...]) -> None:
+        self.handle_event(i.ListTold(kind, entries))
         for entry in entries:
-            if self.service is not None:
-                self.service.told(entry.cache, entry.state)
+            if self.hierarchy is not None:
+                self.hierarchy.told(entry.cache, entry.state)
 
-    # the router
+    # router
 
-    def tell(self, event: i.Event) -> None:
+    def handle_event(self, event: i.Event) -> None:
+        """Passes an event to the router and performs its actions; events raised by these follow in order."""
         self.events.append(event)
-        if self.busy:
+        if self.handling:
             return
-        self.busy = True
+        self.handling = True
         while self.events:
             for action in self.router.handle(self.now(), self.events.popleft()):
-                self.act(action)
-        self.busy = False
+                self.perform(action)
+        self.handling = False
 
-    def act(self, action: i.Action) -> None:
+    def perform(self, action: i.Action) -> None:
         match action:
             case i.Wake():
-                heappush(self.wakes, self.engine.now + action.after)
-                self.arm()
+                heappush(self.wakeups, self.engine.now + action.after)
+                self.set_timer()
             case i.Forward() | i.Recall() | i.Shed() | i.Errored():
-                life = self.lives.get(action.get)
-                if life is not None:
-                    self.do(life, action)
+                get = self.gets.get(action.get)
+                if get is not None:
+                    self.perform_for_get(get, action)
 
-    def arm(self) -> None:
-        if self.wakes and not (self.engine.now <= self.armed <= self.wakes[0]):
-            self.armed = self.wakes[0]
-            self.after(max(0, self.armed - self.engine.now), self.wake)
+    def set_timer(self) -> None:
+        if self.wakeups and not (self.engine.now <= self.timer_at <= self.wakeups[0]):
+            self.timer_at = self.wakeups[0]
+            self.schedule(max(0, self.timer_at - self.engine.now), self.on_timer)
 
-    def wake(self) -> None:
+    def on_timer(self) -> None:
         due = False
-        while self.wakes and self.wakes[0] <= self.engine.now:
-            heappop(self.wakes)
+        while self.wakeups and self.wakeups[0] <= self.engine.now:
+            heappop(self.wakeups)
             due = True
-        self.armed = -1
+        self.timer_at = -1
         if due:
-            self.tell(i.Woken())
-        self.arm()
+            self.handle_event(i.Woken())
+        self.set_timer()
 
-    # one GET
+    # GETs
 
-    def take(
-        self, service: str, thing: str, group: int, token: str, left: int, repeated: bool,
-        answer: Callable[[str, int], None],
+    def accept_get(
+        self, service: str, object_id: str, group: int, token: str, time_left: int, repeated: bool,
+        on_answer: Callable[[str, int], None],
     ) -> Callable[[], None]:  # fmt: skip
-        """What to call where the viewer has left."""
-        self.numbers += 1
-        life = Life(self.numbers, service, thing, token, self.engine.now + left, answer)
-        self.lives[life.number] = life
-        place = self.serves.index(service)
-        self.tell(i.GetTaken(life.number, left, place, thing, group, 0.0, repeated))
-
-        def left_it() -> None:
-            if not life.over:
-                life.over = True
-                self.tell(i.ClientLeft(life.number))
-                self.part(life)
-
-        epoch = self.epoch
-        return lambda: self.run(left_it) if self.epoch == epoch else None
-
-    def do(self, life: Life, action: i.Action) -> None:
+        """Returns the callback for a viewer that leaves."""
+        self.last_get_id += 1
+        get = ActiveGet(self.last_get_id, service, object_id, token, self.engine.now + time_left, on_answer)
+        self.gets[get.id] = get
+        service_index = self.service_names.index(service)
+        self.handle_event(i.GetTaken(get.id, time_left, service_index, object_id, group, 0.0, repeated))
+
+        def client_left() -> None:
+            if not get.answered:
+                get.answered = True
+                self.handle_event(i.ClientLeft(get.id))
+                self.remove_if_ended(get)
+
+        incarnation = self.incarnation
+        return lambda: self.dispatch(client_left) if self.incarnation == incarnation else None
+
+    def perform_for_get(self, get: ActiveGet, action: i.Action) -> None:
         match action:
             case i.Forward():
-                number = life.legs
-                life.legs += 1
-                leg = Leg(number, self.play.world.by_uid[action.cache], self.engine.now)
-                life.out[number] = leg
-                if life.over:
-                    self.ended(life, leg, "unsent")
+                index = get.attempts
+                get.attempts += 1
+                attempt = Attempt(index, self.emulation.world.by_uid[action.cache], self.engine.now)
+                get.in_flight[index] = attempt
+                if get.answered:
+                    self.end_attempt(get, attempt, "unsent")
                 else:
-                    self.send(life, leg, action)
+                    self.send(get, attempt, action)
             case i.Recall():
-                if (out := life.out.get(action.leg)) is not None:
-                    self.stop(out)
-                    self.ended(life, out, "recalled")
+                if (recalled := get.in_flight.get(action.leg)) is not None:
+                    self.cancel(recalled)
+                    self.end_attempt(get, recalled, "recalled")
             case i.Shed():
-                self.finish(life, "shed", action.come_back)
+                self.answer(get, "shed", action.come_back)
             case i.Errored():
-                self.finish(life, "errored", 0)
-
-    def finish(self, life: Life, outcome: str, come_back: int) -> None:
-        if not life.over:
-            life.over = True
-            self.engine.after(LINK, lambda: life.answer(outcome, come_back))
-            self.part(life)
-
-    def part(self, life: Life) -> None:
-        if life.over and not life.out:
-            self.lives.pop(life.number, None)
-
-    def stop(self, leg: Leg) -> None:
-        if leg.task is not None:
-            leg.task.cancel()
-
-    def ended(
-        self, life: Life, leg: Leg, result: str, answer: Answer | None = None, shared: bool = False
-    ) -> None:
-        if life.out.get(leg.number) is not leg:
-            return  # given up meanwhile
+                self.answer(get, "errored", 0)
+
+    def answer(self, get: ActiveGet, outcome: str, retry_after: int) -> None:
+        if not get.answered:
+            get.answered = True
+            self.engine.after(ONE_WAY_DELAY, lambda: get.on_answer(outcome, retry_after))
+            self.remove_if_ended(get)
+
+    def remove_if_ended(self, get: ActiveGet) -> None:
+        if get.answered and not get.in_flight:
+            self.gets.pop(get.id, None)
+
+    def cancel(self, attempt: Attempt) -> None:
+        if attempt.task is not None:
+            attempt.task.cancel()
+
+    def end_attempt(
+        self, get: ActiveGet, attempt: Attempt, result: str, answer: Answer | None = None,
+        shared: bool = False,
+    ) -> None:  # fmt: skip
+        """Reports the end of a forward to the router.
+
+        `shared`: the forward broke on a connection whose end another forward has reported already.
+        """
+        if get.in_flight.get(attempt.index) is not attempt:
+            return  # ended before, for instance recalled
         if result == "returned":
-            self.finish(life, "returned", 0)
-        del life.out[leg.number]
-        note, waited = (answer.note, answer.waited) if answer else (0, 0)
-        load = {"held": float(leg.node.under_way)} if answer else {}
-        self.tell(i.ForwardEnded(life.number, leg.number, leg.node.uid, result, self.engine.now - leg.sent,
-                                 waited // MS * MS, note, life.over, shared, load))  # fmt: skip
-        self.part(life)
-
-    # its connections
-
-    def send(self, life: Life, leg: Leg, forward: i.Forward) -> None:
-        play, node = self.play, leg.node
-        way = play.links.between(self.name, node.name, self.engine.now / S)
-        if way.broken:
-            return self.after(LINK, lambda: self.ended(life, leg, "unreached"))
-        self.use(node.name)
-        key = (life.service, life.thing, "0")
+            self.answer(get, "returned", 0)
+        del get.in_flight[attempt.index]
+        note, fill_time = (answer.note, answer.fill_time) if answer else (0, 0)
+        load = {"held": float(attempt.node.in_progress)} if answer else {}
+        self.handle_event(
+            i.ForwardEnded(get.id, attempt.index, attempt.node.uid, result, self.engine.now - attempt.sent_at,
+                           fill_time // MS * MS, note, get.answered, shared, load))  # fmt: skip
+        self.remove_if_ended(get)
+
+    # connections
+
+    def send(self, get: ActiveGet, attempt: Attempt, forward: i.Forward) -> None:
+        emulation, node = self.emulation, attempt.node
+        link = emulation.links.between(self.name, node.name, self.engine.now / S)
+        if link.broken:
+            return self.schedule(ONE_WAY_DELAY, lambda: self.end_attempt(get, attempt, "unreached"))
+        self.use_connection(node.name)
+        key = (get.service, get.object_id, "0")
         source = forward.source if forward.source != forward.cache else ""
-        command = Command(key, source, forward.age // MS, forward.join, forward.copies, life.token,
-                          max(MS, life.end - self.engine.now))  # fmt: skip
+        command = Command(key, source, forward.age // MS, forward.join, forward.copies, get.token,
+                          max(MS, get.deadline - self.engine.now))  # fmt: skip
 
         def arrive() -> None:
-            if life.out.get(leg.number) is not leg:
+            if get.in_flight.get(attempt.index) is not attempt:
                 return
-            if node.condition().down:  # the relay took the connection, and finds nobody there
-                return self.after(LINK, lambda: self.ended(life, leg, "broken"))
-            named = play.world.by_uid.get(source)
-            play.seen.forwards.append(
-                Forwarded(self.engine.now / S, self.name, node.name, named.name if named else "")
+            if node.condition().down:  # the relay accepted the connection, but nothing listens behind it
+                return self.schedule(ONE_WAY_DELAY, lambda: self.end_attempt(get, attempt, "broken"))
+            source_node = emulation.world.by_uid.get(source)
+            emulation.seen.forwards.append(
+                Forwarded(self.engine.now / S, self.name, node.name, source_node.name if source_node else "")
             )
-            play.world.arrived(node, named)
-            leg.task = node.forward(command, answered)
+            emulation.world.check_drains(node, source_node)
+            attempt.task = node.forward(command, answered)
 
         def answered(answer: Answer) -> None:
-            back = LINK + self.play.wait(node.name, self.name)
-            self.after(back, lambda: self.came(life, leg, answer))
+            delay = ONE_WAY_DELAY + self.emulation.extra_delay(node.name, self.name)
+            self.schedule(delay, lambda: self.receive_answer(get, attempt, answer))
 
-        wait = LINK + play.wait(self.name, node.name)
-        self.engine.after(wait, arrive)
+        delay = ONE_WAY_DELAY + emulation.extra_delay(self.name, node.name)
+        self.engine.after(delay, arrive)
 
-    def came(self, life: Life, leg: Leg, answer: Answer) -> None:
-        if leg.node.name in self.used:
-            self.used[leg.node.name] = (self.used[leg.node.name][0], self.engine.now)
-        self.ended(life, leg, answer.result, answer)
+    def receive_answer(self, get: ActiveGet, attempt: Attempt, answer: Answer) -> None:
+        if attempt.node.name in self.connections:
+            self.connections[attempt.node.name] = (self.connections[attempt.node.name][0], self.engine.now)
+        self.end_attempt(get, attempt, answer.result, answer)
 
-    def broke(self, node: str) -> None:
-        """Its connection there was reset: one symptom for all that were on it."""
-        self.closed(node, self.engine.now)
+    def reset_connection(self, node: str) -> None:
+        """Breaks all forwards on the connection to a node; all but the first are reported as `shared`."""
+        self.close_connection(node, self.engine.now)
         shared = False
-        for life in list(self.lives.values()):
-            for leg in list(life.out.values()):
-                if leg.node.name == node:
-                    self.stop(leg)
-                    self.ended(life, leg, "broken", shared=shared)
+        for get in list(self.gets.values()):
+            for attempt in list(get.in_flight.values()):
+                if attempt.node.name == node:
+                    self.cancel(attempt)
+                    self.end_attempt(get, attempt, "broken", shared=shared)
                     shared = True
 
-    def use(self, node: str) -> None:
-        """Opens a connection where none is up; one that lay unused was closed meanwhile."""
+    def use_connection(self, node: str) -> None:
+        """Opens a connection where none is open or the last one has been idle for too long."""
         now = self.engine.now
-        self.lapse(node, now)
-        if node not in self.used:
-            self.play.seen.opened.append((now / S, self.name, node))
-            self.used[node] = (now, now)
-        self.used[node] = (self.used[node][0], now)
-
-    def lapse(self, node: str, now: int) -> None:
-        if node in self.used:
-            kept = IDLE if self.council.keeps(source_id(self.play.world.nodes[node].uid)) else PASSING
-            if now > self.used[node][1] + kept:
-                self.closed(node, self.used[node][1] + kept)
-
-    def closed(self, node: str, when: int) -> None:
-        if self.used.pop(node, None) is not None:
-            self.play.seen.closed.append((when / S, self.name, node))
+        self.close_if_idle(node, now)
+        if node not in self.connections:
+            self.emulation.seen.opened.append((now / S, self.name, node))
+            self.connections[node] = (now, now)
+        self.connections[node] = (self.connections[node][0], now)
+
+    def close_if_idle(self, node: str, now: int) -> None:
+        if node in self.connections:
+            timeout = (
+                IDLE
+                if self.coordinator.keeps(source_id(self.emulation.world.nodes[node].uid))
+                else SHORT_IDLE
+            )
+            if now > self.connections[node][1] + timeout:
+                self.close_connection(node, self.connections[node][1] + timeout)
+
+    def close_connection(self, node: str, time: int) -> None:
+        if self.connections.pop(node, None) is not None:
+            self.emulation.seen.closed.append((time / S, self.name, node))
--- a/damsonstream/emulator/nodes.py
+++ b/damsonstream/emulator/nodes.py
@@ -1,9 +1,11 @@
-"""Caches, hubs, the vault and the list of them in virtual time, as the stand-ins are on sockets. No I/O.
+"""Caches, parents, the origin and the list of caches in virtual time, like the stand-ins on sockets. No I/O.
 
-How it is called: `World(engine, ...)` holds all nodes; `node.forward(command, done)` brings a GET to one and
-calls `done(answer)` as it ends, unless its task is cancelled; `world.tell(news)` tells the list's followers.
-Conditions come from the same `Plan` as the stand-ins', times from their constants (standins/servers.py), so
-that one script means the same in both. Chance comes from the seed.
+Usage: `World(engine, ...)` holds all nodes; `node.forward(command, on_answer)` sends a GET to one and calls
+`on_answer(answer)` as it ends, unless its task is cancelled; `world.publish(update)` notifies the subscribers
+of the list. Faults come from the same `Plan` as those of the stand-ins, and times from their constants
+(standins/servers.py), so that a script means the same in both. All randomness comes from the seed.
+
+The names "hub" and "vault" stand for a parent and the origin.
 """
 
 from __future__ import annotations
@@ -12,103 +14,103 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from damsonstream.emulator.engine import MS, Engine, Lanes, Process, S, Signal, Task
+from damsonstream.emulator.engine import MS, Engine, Process, S, Semaphore, Signal, Task
 from damsonstream.protocol.resp import NOTE
 from damsonstream.routing import interface as i
 from damsonstream.standins import servers
 from damsonstream.standins.faults import Condition, Plan
 from damsonstream.standins.shelf import Copy, Effects, Key, Shelf
 
-UNIX = 1_764_576_000 * S  # what the clocks of all gateways show as a play begins
+START_UNIX = 1_764_576_000 * S  # Unix time that all gateways' clocks show at the start of a run
 FOREVER = 3600 * S
-HIT, LONGEST, SETTLE = int(servers.HIT * S), int(servers.LONGEST * S), int(servers.SETTLE * S)
+HIT_TIME, FILL_TIMEOUT, PURGE_TIME = int(servers.HIT * S), int(servers.LONGEST * S), int(servers.SETTLE * S)
 MODELS = servers.World.models
-MODEL = {"cache": "box", "hub": "hub", "vault": "vault"}
+MODEL_BY_ROLE = {"cache": "box", "hub": "hub", "vault": "vault"}
 STATES = ("active", "leaving", "left")
-GRACE = 1.0  # seconds after a drain was told, as the settings of a play have it
+DRAIN_GRACE = 1.0  # seconds after the notice of a drain, as in the settings of a script's run
 
 
 @dataclass(slots=True, frozen=True)
 class Command:
-    """What a forward asks of a cache."""
+    """A forward as a cache receives it."""
 
     key: Key
-    source: str  # uid, empty: no fill
-    newer: int  # milliseconds, 0: as old as it likes
+    source: str  # uid; empty: no fill
+    max_age_ms: int  # of a copy that is acceptable; 0: any age
     join: bool
-    copies: bool
+    cached_only: bool  # the source answers only from its own copies
     token: str
-    patience: int
+    timeout: int
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
     result: str  # returned, lacking, shed or errored
     note: int = 0
-    waited: int = 0
+    fill_time: int = 0
 
 
-class Fill(Exception):
-    """A source did not give; the text is the note that the cache's answer bears."""
+class FillFailed(Exception):
+    """A source did not provide a copy; the text is the note in the cache's answer."""
 
 
 class Node:
     def __init__(
-        self, world: World, id: int, name: str, role: str, memory: int, lanes: int, location: str, cell: int
+        self, world: World, id: int, name: str, role: str, memory: int, slots: int, location: str, cell: int
     ) -> None:
-        self.world, self.name, self.role, self.count = world, name, role, lanes
+        self.world, self.name, self.role, self.slots = world, name, role, slots
         self.uid, self.location, self.cell = f"s-{id:08x}", location, cell
-        self.shelf = Shelf(memory)
-        self.lanes = Lanes(world.engine, lanes)
-        self.under_way = 0
-        self.fills: dict[Key, Signal] = {}  # emptied as they end
-        self.state, self.since = 0, 0
+        self.store = Shelf(memory)
+        self.semaphore = Semaphore(world.engine, slots)
+        self.in_progress = 0
+        self.fills: dict[Key, Signal] = {}  # removed as they end
+        self.state, self.started_at = 0, 0
 
     def entry(self) -> i.Entry:
-        return i.Entry(self.uid, self.location, STATES[self.state], float(self.count), self.cell,
-                       MODEL[self.role], self.since)  # fmt: skip
+        return i.Entry(self.uid, self.location, STATES[self.state], float(self.slots), self.cell,
+                       MODEL_BY_ROLE[self.role], self.started_at)  # fmt: skip
 
     def condition(self) -> Condition:
         return self.world.plan.condition(self.name, self.world.engine.now / S)
 
-    def forward(self, command: Command, done: Callable[[Answer], None]) -> Task:
-        """One GET, from its coming to its answer; none comes where the node is down by then."""
+    def forward(self, command: Command, on_answer: Callable[[Answer], None]) -> Task:
+        """Handles a GET; a node that is down at the end sends no answer."""
 
-        def live() -> Process[None]:
-            answer = yield from self.work(command)
+        def handle_and_answer() -> Process[None]:
+            answer = yield from self.handle(command)
             if not self.condition().down:
-                done(answer)
+                on_answer(answer)
 
-        task = self.world.engine.begin(live())
-        if not task.over:
-            self.world.engine.after(command.patience, task.cancel)
+        task = self.world.engine.spawn(handle_and_answer())
+        if not task.finished:
+            self.world.engine.after(command.timeout, task.cancel)
         return task
 
-    def turned_away(self, condition: Condition, room: bool) -> bool:
-        return not room or self.world.chance.random() < condition.shed
+    def sheds(self, condition: Condition, has_room: bool) -> bool:
+        return not has_room or self.world.rng.random() < condition.shed
 
-    def work(self, command: Command) -> Process[Answer]:
-        condition, chance = self.condition(), self.world.chance
-        if condition.hang and chance.random() < condition.hang:
+    def handle(self, command: Command) -> Process[Answer]:
+        condition, rng = self.condition(), self.world.rng
+        if condition.hang and rng.random() < condition.hang:
             yield FOREVER
-        if self.turned_away(condition, self.under_way < self.count * (1 + servers.QUEUE)):
+        if self.sheds(condition, self.in_progress < self.slots * (1 + servers.QUEUE)):
             return Answer("shed")
-        self.under_way += 1
+        self.in_progress += 1
         try:
-            yield from self.lanes.enter()
+            yield from self.semaphore.acquire()
             try:
-                yield HIT + int(condition.delay * S)
-                if chance.random() < condition.fail:
+                yield HIT_TIME + int(condition.delay * S)
+                if rng.random() < condition.fail:
                     return Answer("errored")
-                return (yield from (self.effect(command) if command.token else self.serve(command)))
+                return (yield from (self.run_effect(command) if command.token else self.serve_copy(command)))
             finally:
-                self.lanes.leave()
+                self.semaphore.release()
         finally:
-            self.under_way -= 1
+            self.in_progress -= 1
 
-    def serve(self, command: Command) -> Process[Answer]:
+    def serve_copy(self, command: Command) -> Process[Answer]:
         world, engine = self.world, self.world.engine
-        copy, note, waited = self.shelf.find(command.key, world.unix_ms(), command.newer), "hit", 0
+        copy, note, fill_time = self.store.find(command.key, world.unix_ms(), command.max_age_ms), "hit", 0
         if copy is None:
             source = world.by_uid.get(command.source)
             if source is None:
@@ -116,209 +118,226 @@
             began = engine.now
             try:
                 copy, note = yield from self.fill(command, source)
-            except Fill as fault:
-                result = {"src_lacks": "lacking", "src_refused": "shed"}.get(str(fault), "errored")
-                return Answer(result, note_of(str(fault)), engine.now - began)
-            waited = engine.now - began
+            except FillFailed as failure:
+                result = {"src_lacks": "lacking", "src_refused": "shed"}.get(str(failure), "errored")
+                return Answer(result, note_code(str(failure)), engine.now - began)
+            fill_time = engine.now - began
         yield int(copy.size / servers.PACE * S)
-        return Answer("returned", note_of(note), waited)
+        return Answer("returned", note_code(note), fill_time)
 
     def fill(self, command: Command, source: Node) -> Process[tuple[Copy, str]]:
         key, running, joined = command.key, self.fills.get(command.key), True
         if running is None or not command.join:
-            running, joined = self.begin(key, source.give(self, command, command.copies)), False
-        found = yield running
-        if isinstance(found, str):
-            raise Fill(found)
-        copy, where = found
-        return copy, "joined" if joined else where
-
-    def begin(self, key: Key, give: Process[tuple[Copy, str]]) -> Signal:
-        """A fill that goes on by itself, also when those who asked for it have left."""
+            running, joined = (
+                self.start_fill(key, source.provide(self, command, command.cached_only)), False,
+            )  # fmt: skip
+        result = yield running
+        if isinstance(result, str):
+            raise FillFailed(result)
+        copy, note = result
+        return copy, "joined" if joined else note
+
+    def start_fill(self, key: Key, provide: Process[tuple[Copy, str]]) -> Signal:
+        """Starts a fill that continues even when all GETs that wait for it have left.
+
+        The signal's value is the copy and its note, or the note of a failure.
+        """
         engine, ended = self.world.engine, Signal(self.world.engine)
         self.fills.setdefault(key, ended)
 
-        def end(found: object) -> None:
+        def end(result: object) -> None:
             if self.fills.get(key) is ended:
                 del self.fills[key]
-            ended.set(found)
+            ended.set(result)
 
         def run() -> Process[None]:
             try:
-                copy, where = yield from give
-            except Fill as fault:
-                return end(str(fault))
-            self.shelf.keep(key, copy)
-            end((copy, where))
+                copy, note = yield from provide
+            except FillFailed as failure:
+                return end(str(failure))
+            self.store.keep(key, copy)
+            end((copy, note))
 
-        task = engine.begin(run())
+        task = engine.spawn(run())
 
-        def overdue() -> None:
-            if not task.over:
+        def on_timeout() -> None:
+            if not task.finished:
                 task.cancel()
                 end("src_broke")
 
-        if not task.over:
-            engine.after(LONGEST, overdue)
+        if not task.finished:
+            engine.after(FILL_TIMEOUT, on_timeout)
         return ended
 
-    def give(self, asker: Node, command: Command, only_held: bool) -> Process[tuple[Copy, str]]:
-        """A fill: a copy and the note of where it came from."""
-        world, chance = self.world, self.world.chance
-        if (wait := max(world.held(asker.name, self.name), world.held(self.name, asker.name))) > 0:
+    def provide(self, asker: Node, command: Command, cached_only: bool) -> Process[tuple[Copy, str]]:
+        """The source's side of a fill: returns a copy and the note of where it came from."""
+        world, rng = self.world, self.world.rng
+        if (wait := max(world.link_hold(asker.name, self.name), world.link_hold(self.name, asker.name))) > 0:
             yield int(wait * S) + 1
         condition = self.condition()
-        world.filled(asker, self)
+        world.on_fill(asker, self)
         if condition.down:
-            raise Fill("src_broke")
-        if condition.hang and chance.random() < condition.hang:
+            raise FillFailed("src_broke")
+        if condition.hang and rng.random() < condition.hang:
             yield FOREVER
-        if self.turned_away(condition, self.under_way <= self.count * (1 + servers.QUEUE)):
-            raise Fill("src_refused")
-        self.under_way += 1
+        if self.sheds(condition, self.in_progress <= self.slots * (1 + servers.QUEUE)):
+            raise FillFailed("src_refused")
+        self.in_progress += 1
         try:
-            yield from self.lanes.enter()
+            yield from self.semaphore.acquire()
             try:
-                way = servers.FETCH[self.role] * (0.8 + 0.4 * chance.random()) + condition.delay
-                yield int(way * S)
-                if self.condition().down or chance.random() < condition.fail:
-                    raise Fill("src_broke")
+                duration = servers.FETCH[self.role] * (0.8 + 0.4 * rng.random()) + condition.delay
+                yield int(duration * S)
+                if self.condition().down or rng.random() < condition.fail:
+                    raise FillFailed("src_broke")
                 group, size = world.describe(command.key)
                 if self.role == "vault":
                     return Copy(world.unix_ms(), size, group), "filled"
-                copy = self.shelf.find(command.key, world.unix_ms(), command.newer)
+                copy = self.store.find(command.key, world.unix_ms(), command.max_age_ms)
                 if copy is not None:
                     return copy, "filled"
-                if only_held:
-                    raise Fill("src_lacks")
-                return (yield from self.fetch(command)), "via_origin"
+                if cached_only:
+                    raise FillFailed("src_lacks")
+                return (yield from self.fetch_from_origin(command)), "via_origin"
             finally:
-                self.lanes.leave()
+                self.semaphore.release()
         finally:
-            self.under_way -= 1
+            self.in_progress -= 1
 
-    def fetch(self, command: Command) -> Process[Copy]:
-        """A hub's own miss: the vault gives it; those that come meanwhile wait for the same."""
+    def fetch_from_origin(self, command: Command) -> Process[Copy]:
+        """Fills a parent's own miss from the origin; concurrent misses share one fill."""
         running = self.fills.get(command.key)
         if running is None:
-            running = self.begin(command.key, self.world.vault.give(self, command, False))
-        found = yield running
-        if isinstance(found, str):
-            raise Fill("origin_failed")
-        copy: Copy = found[0]
+            running = self.start_fill(command.key, self.world.origin.provide(self, command, False))
+        result = yield running
+        if isinstance(result, str):
+            raise FillFailed("origin_failed")
+        copy: Copy = result[0]
         return copy
 
-    def effect(self, command: Command) -> Process[Answer]:
-        """A GET that changes something: it runs at the vault, once for each token."""
-        world, vault = self.world, self.world.vault
-        condition, source = vault.condition(), world.by_uid.get(command.source, vault)
-        way = source.condition()
-        if way.down or (source is not vault and world.chance.random() < way.fail):
-            return Answer("errored", note_of("src_broke"))
+    def run_effect(self, command: Command) -> Process[Answer]:
+        """Runs a GET with an effect at the origin, once for each token."""
+        world, origin = self.world, self.world.origin
+        condition, source = origin.condition(), world.by_uid.get(command.source, origin)
+        source_condition = source.condition()
+        if source_condition.down or (source is not origin and world.rng.random() < source_condition.fail):
+            return Answer("errored", note_code("src_broke"))
         if condition.down:
-            return Answer("errored", note_of("origin_failed"))
+            return Answer("errored", note_code("origin_failed"))
         began = world.engine.now
         yield int((servers.FETCH["vault"] + condition.delay) * S)
         world.effects.run(command.token, world.engine.now / S)
-        note = "filled" if source is vault else "via_origin"
-        return Answer("returned", note_of(note), world.engine.now - began)
+        note = "filled" if source is origin else "via_origin"
+        return Answer("returned", note_code(note), world.engine.now - began)
 
 
-def note_of(word: str) -> int:
-    return NOTE[word.encode()]
+def note_code(note: str) -> int:
+    return NOTE[note.encode()]
 
 
 @dataclass(slots=True, frozen=True)
 class Purge:
-    thing: str
+    object_id: str
     group: int
     issued: int  # ticks
 
 
-News = tuple[i.Entry, ...] | Purge
+Update = tuple[i.Entry, ...] | Purge  # changed entries of the list, or a purge
 
 
 class World:
     def __init__(
         self, engine: Engine, plan: Plan, seed: int, describe: Callable[[Key], tuple[int, int]],
-        remembered: float, shops: list[int], hubs: int, memory: int, lanes: int, vault: int,
+        remembered: float, caches_by_location: list[int], parents: int, cache_memory: int, cache_slots: int,
+        origin_slots: int,
     ) -> None:  # fmt: skip
-        """`shops`: caches of each; `lanes` of a cache, `vault` of the vault; hubs are as the stand-ins'."""
-        self.engine, self.plan, self.chance, self.describe = engine, plan, random.Random(seed), describe
+        """Sets up the nodes; the memory and slots of parents are those of the stand-ins.
+
+        `describe`: returns the group and the bytes of an object; `remembered`: seconds for which a token is
+        known; `*_slots`: GETs that a cache, or the origin, serves at once.
+        """
+        self.engine, self.plan, self.rng, self.describe = engine, plan, random.Random(seed), describe
         self.effects = Effects(remembered)
-        self.locations = (*(f"shop-{n + 1}" for n in range(len(shops))), "hubs")
+        self.locations = (*(f"shop-{n + 1}" for n in range(len(caches_by_location))), "hubs")
         self.nodes: dict[str, Node] = {}
-        hub, ids = servers.Shape().hub, iter(range(1, 1 << 24))
-        made = [(f"cache-{shop + 1}-{n + 1}", "cache", memory, lanes, shop, n)
-                for shop, count in enumerate(shops) for n in range(count)]  # fmt: skip
-        made += [(f"hub-{n + 1}", "hub", hub.memory, hub.lanes, len(shops), n) for n in range(hubs)]
-        made.append(("vault", "vault", 0, vault, len(shops), 0))
-        for name, role, held, count, place, cell in made:
-            self.nodes[name] = Node(self, next(ids), name, role, held, count, self.locations[place], cell)
-        self.vault = self.nodes["vault"]
+        parent, ids = servers.Shape().hub, iter(range(1, 1 << 24))
+        specs = [(f"cache-{location + 1}-{n + 1}", "cache", cache_memory, cache_slots, location, n)
+                 for location, count in enumerate(caches_by_location) for n in range(count)]  # fmt: skip
+        specs += [(f"hub-{n + 1}", "hub", parent.memory, parent.lanes, len(caches_by_location), n)
+                  for n in range(parents)]  # fmt: skip
+        specs.append(("vault", "vault", 0, origin_slots, len(caches_by_location), 0))
+        for name, role, memory, slots, index, cell in specs:
+            self.nodes[name] = Node(self, next(ids), name, role, memory, slots, self.locations[index], cell)
+        self.origin = self.nodes["vault"]
         self.by_uid = {node.uid: node for node in self.nodes.values()}
-        self.events: list[News] = [tuple(node.entry() for node in self.nodes.values())]
-        self.followers: list[Callable[[], None]] = []  # called as there is news
-        self.drained: dict[str, int] = {}
-        self.faults: list[str] = []  # bounded
-        self.held: Callable[[str, str], float] = lambda a, b: 0.0
-        self.filled: Callable[[Node, Node], None] = lambda asker, source: None
-        self.broke: Callable[[str], None] = lambda name: None  # all connections to a node are reset
-        for when, fault, begins in sorted([*plan.edges("crash"), *plan.edges("reset")], key=lambda e: e[0]):
-            engine.at(int(when * S), self.edge(fault.node, fault.kind, begins))
+        self.updates: list[Update] = [tuple(node.entry() for node in self.nodes.values())]
+        self.subscribers: list[Callable[[], None]] = []  # called at each update
+        self.drained_at: dict[str, int] = {}
+        self.violations: list[str] = []  # bounded
+        self.link_hold: Callable[[str, str], float] = lambda a, b: 0.0  # seconds
+        self.on_fill: Callable[[Node, Node], None] = lambda asker, source: None
+        self.on_reset: Callable[[str], None] = lambda name: None  # all connections to a node are reset
+        for time, fault, begins in sorted([*plan.edges("crash"), *plan.edges("reset")], key=lambda e: e[0]):
+            engine.at(int(time * S), self.fault_change(fault.node, fault.kind, begins))
 
     def unix_ms(self) -> int:
-        return (UNIX + self.engine.now) // MS
+        return (START_UNIX + self.engine.now) // MS
+
+    def fault_change(self, name: str, kind: str, begins: bool) -> Callable[[], None]:
+        """Returns the callback for the begin or end of a crash or reset."""
 
-    def edge(self, name: str, kind: str, begins: bool) -> Callable[[], None]:
-        def happen() -> None:
+        def change() -> None:
             node = self.nodes.get(name)
             if node is None or (kind == "reset" and not begins):
                 return
             if begins:
-                self.broke(name)
+                self.on_reset(name)
             if kind == "crash" and begins:
-                node.shelf.clear()
+                node.store.clear()
             elif kind == "crash":
-                node.since = UNIX + self.engine.now
-                self.tell((node.entry(),))
+                node.started_at = START_UNIX + self.engine.now
+                self.publish((node.entry(),))
 
-        return happen
+        return change
 
-    def fault(self, text: str) -> None:
-        if len(self.faults) < 100:
-            self.faults.append(text)
+    def report_violation(self, text: str) -> None:
+        if len(self.violations) < 100:
+            self.violations.append(text)
 
-    def arrived(self, *nodes: Node | None) -> None:
-        """Truth about drains, seen where forwards arrive."""
+    def check_drains(self, *nodes: Node | None) -> None:
+        """Reports nodes that a forward names although their drain began more than DRAIN_GRACE ago."""
         for node in nodes:
-            since = self.drained.get(node.name) if node is not None else None
-            if node is not None and since is not None and self.engine.now > since + GRACE * S:
-                self.fault(f"{node.name} was named {(self.engine.now - since) / S:.2f} s after its drain")
-
-    def tell(self, news: News) -> None:
-        self.events.append(news)
-        for follower in self.followers:
-            follower()
-
-    def purge(self, thing: str, group: int) -> None:
+            since = self.drained_at.get(node.name) if node is not None else None
+            if node is not None and since is not None and self.engine.now > since + DRAIN_GRACE * S:
+                self.report_violation(
+                    f"{node.name} was named {(self.engine.now - since) / S:.2f} s after its drain"
+                )
+
+    def publish(self, update: Update) -> None:
+        self.updates.append(update)
+        for notify in self.subscribers:
+            notify()
+
+    def purge(self, object_id: str, group: int) -> None:
         now = self.engine.now
-        self.tell(Purge(thing, group, now))
+        self.publish(Purge(object_id, group, now))
         for node in self.nodes.values():
-            self.engine.after(int(SETTLE * self.chance.random()), self.drop(node, thing, group, now))
+            self.engine.after(
+                int(PURGE_TIME * self.rng.random()), self.purge_node(node, object_id, group, now)
+            )
 
-    def drop(self, node: Node, thing: str, group: int, issued: int) -> Callable[[], None]:
-        return lambda: void(node.shelf.purge(thing, group, (UNIX + issued) // MS))
+    def purge_node(self, node: Node, object_id: str, group: int, issued: int) -> Callable[[], None]:
+        return lambda: discard(node.store.purge(object_id, group, (START_UNIX + issued) // MS))
 
-    def tell_state(self, name: str, state: int) -> None:
+    def set_state(self, name: str, state: int) -> None:
         node = self.nodes[name]
         node.state = state
         if state:
-            self.drained.setdefault(name, self.engine.now)
+            self.drained_at.setdefault(name, self.engine.now)
         else:
-            self.drained.pop(name, None)
-        self.tell((node.entry(),))
+            self.drained_at.pop(name, None)
+        self.publish((node.entry(),))
 
 
-def void(what: object) -> None:
-    pass
+def discard(result: object) -> None:
+    """Turns an expression with a result into a callback without one."""
--- a/damsonstream/emulator/runs.py
+++ b/damsonstream/emulator/runs.py
@@ -1,9 +1,9 @@
-"""Plays an experiment's cells, on several cores, and keeps each outcome as it comes.
+"""Runs the cells of an experiment on several cores and stores each outcome as it completes.
 
-How it is called: `run(experiment, folder, workers, code, play, told)`; `play(experiment, cell)` gives an
-`Outcome` and is called in worker processes; `told(done, all)` as each one ends. An outcome stands whole in a
-file of its own or not at all, named by all that it follows from: a run that was killed goes on where it was,
-and one of other code plays anew. `fingerprint()` names the code.
+Usage: `run(experiment, folder, workers, code, run_cell, on_progress)`. `run_cell(experiment, cell)` returns
+an `Outcome` and is called in worker processes; `on_progress(done, total)` is called as each cell ends. An
+outcome is a file that is written atomically and named by a hash of all its inputs: an interrupted run resumes
+with the missing cells, and other code runs all of them again. `fingerprint()` identifies the code.
 """
 
 from __future__ import annotations
@@ -21,38 +21,40 @@
 import damsonstream
 from damsonstream.emulator.study import Cell, Experiment, Outcome
 
-PLAYS = Callable[[Experiment, Cell], Outcome]
-POOLS = 3  # begun at the most: a worker that was killed costs its cell once, not the run
-FOLDERS = ("routing", "peers", "tiers", "emulator", "together", "standins", "demo", "protocol")
+RunCell = Callable[[Experiment, Cell], Outcome]
+MAX_POOLS = 3  # a worker that is killed breaks its pool; the next pool runs the missing cells
+PACKAGES = ("routing", "peers", "tiers", "emulator", "together", "standins", "demo", "protocol")
 
 
 class Stopped(Exception):
-    """Workers end before their plays do."""
+    """Worker processes ended before their cells did, in each of MAX_POOLS pools."""
 
 
 def fingerprint() -> str:
-    """Of the code that a figure follows from."""
+    """Returns a hash of the source files that determine an outcome."""
     top = Path(damsonstream.__file__).parent
-    whole = blake2b(digest_size=8)
-    for folder in FOLDERS:
-        for path in sorted((top / folder).glob("*.py")):
-            whole.update(path.name.encode() + b"\0" + path.read_bytes())
-    return whole.hexdigest()
+    code_hash = blake2b(digest_size=8)
+    for package in PACKAGES:
+        for path in sorted((top / package).glob("*.py")):
+            code_hash.update(path.name.encode() + b"\0" + path.read_bytes())
+    return code_hash.hexdigest()
 
 
 class Store:
+    """Outcomes in a folder, a JSON file for each."""
+
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         folder.mkdir(parents=True, exist_ok=True)
 
     def find(self, key: str) -> Outcome | None:
-        """What is kept; None where nothing is, or what can't be read: it is played again."""
+        """Returns the stored outcome, or None if it is missing or unreadable: its cell is run again."""
         try:
             return msgspec.json.decode((self.folder / f"{key}.json").read_bytes(), type=Outcome)
         except (OSError, msgspec.DecodeError):
             return None
 
-    def keep(self, key: str, outcome: Outcome) -> None:
+    def save(self, key: str, outcome: Outcome) -> None:
         part = self.folder / f"{key}.{os.getpid()}.part"
         with part.open("wb") as file:
             file.write(msgspec.json.encode(outcome))
@@ -62,35 +64,40 @@
 
 
 def run(
-    experiment: Experiment, folder: Path, workers: int, code: str, play: PLAYS,
-    told: Callable[[int, int], None] = lambda done, of: None,
+    experiment: Experiment, folder: Path, workers: int, code: str, run_cell: RunCell,
+    on_progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> list[Outcome]:  # fmt: skip
+    """Returns the outcomes of all cells, in the experiment's order; raises `Stopped`."""
     store, cells = Store(folder), experiment.cells()
-    found = {cell: kept for cell in cells if (kept := store.find(experiment.key(cell, code))) is not None}
-    told(len(found), len(cells))
+    outcomes = {
+        cell: stored for cell in cells if (stored := store.find(experiment.key(cell, code))) is not None
+    }
+    on_progress(len(outcomes), len(cells))
 
-    def came(cell: Cell, outcome: Outcome) -> None:
-        found[cell] = outcome
-        store.keep(experiment.key(cell, code), outcome)
-        told(len(found), len(cells))
+    def complete(cell: Cell, outcome: Outcome) -> None:
+        outcomes[cell] = outcome
+        store.save(experiment.key(cell, code), outcome)
+        on_progress(len(outcomes), len(cells))
 
     if workers == 1:
         for cell in cells:
-            if cell not in found:
-                came(cell, play(experiment, cell))
-        return [found[cell] for cell in cells]
-    for _ in range(POOLS):
-        missing = [cell for cell in cells if cell not in found]
+            if cell not in outcomes:
+                complete(cell, run_cell(experiment, cell))
+        return [outcomes[cell] for cell in cells]
+    for _ in range(MAX_POOLS):
+        missing = [cell for cell in cells if cell not in outcomes]
         if not missing:
             break
         spawn = multiprocessing.get_context("spawn")
         with ProcessPoolExecutor(min(workers, len(missing)), mp_context=spawn) as pool:
-            waiting = {pool.submit(play, experiment, cell): cell for cell in missing}
+            futures = {pool.submit(run_cell, experiment, cell): cell for cell in missing}
             try:
-                for future in as_completed(waiting):
-                    came(waiting[future], future.result())
+                for future in as_completed(futures):
+                    complete(futures[future], future.result())
             except BrokenProcessPool:
                 continue
-    if missing := [cell for cell in cells if cell not in found]:
-        raise Stopped(f"workers ended in {POOLS} pools, {len(missing)} of {len(cells)} plays are missing")
-    return [found[cell] for cell in cells]
+    if missing := [cell for cell in cells if cell not in outcomes]:
+        raise Stopped(
+            f"worker processes died in {MAX_POOLS} pools; {len(missing)} of {len(cells)} runs are missing"
+        )
+    return [outcomes[cell] for cell in cells]
--- a/damsonstream/emulator/study.py
+++ b/damsonstream/emulator/study.py
@@ -1,8 +1,10 @@
-"""Experiments: what is played, what varies, what is measured, and what the figures say. No I/O but `load`.
+"""Experiments: the script that is run, what varies, what is measured, and statistics over the results.
 
-How it is called: `load(path)` reads an `Experiment` (KDL, docs/experiments.md); `cells()` are the plays it
-needs, `outcome(...)` what one has shown, `digest(outcomes)` the same text for the same figures in any order,
-and `compare(...)` sets each policy against one, seed by seed. A cell is one policy, size and seed.
+No I/O except in `load`.
+
+Usage: `load(path)` reads an `Experiment` (KDL, docs/experiments.md). `cells()` lists the runs that it needs;
+a cell is one policy, size and seed. `digest(outcomes)` is equal for equal outcomes in any order.
+`compare(...)` compares each policy with a given one, seed by seed.
 """
 
 from __future__ import annotations
@@ -15,20 +17,22 @@
 import msgspec
 import numpy as np
 
-from damsonstream.emulator.baselines import MECHANISM, NAMES
+from damsonstream.emulator.baselines import DEFAULT_ROUTER, NAMES
 from damsonstream.peers.pieces import PIECES
 from damsonstream.settings import kdl
 from damsonstream.together import script
 from damsonstream.together.checks import CHECKS, Check
 
-MOST_SEEDS, MOST_SHOPS, MOST_CELLS = 200, 128, 5000
-LEAST_PAIRS = 3  # with fewer nothing is said
-RESAMPLES = 4000  # of a bootstrap: its 2.5% has 100 of them
-SURE = 0.95
+MAX_SEEDS, MOST_SHOPS, MAX_CELLS = 200, 128, 5000
+MIN_PAIRS = 3  # with fewer the verdict is always "can't tell"
+RESAMPLES = 4000  # of the bootstrap; 100 of them lie below its 2.5% quantile
+CONFIDENCE = 0.95
 
 
 @dataclass(slots=True, frozen=True)
 class Policy:
+    """A router and the features that are switched off. `Experiment.key` hashes these fields."""
+
     name: str
     without: tuple[str, ...]
     router: str
@@ -36,6 +40,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Measure:
+    """A figure that each run yields. `Experiment.key` hashes these fields."""
+
     title: str
     check: Check
     better: str  # more or less
@@ -43,21 +49,23 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Cell:
+    """One run of an experiment."""
+
     shops: int
     policy: str
     seed: int
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What one cell has shown: a figure for each measure."""
+    """The results of one run: a figure for each measure. Stored and printed as JSON."""
 
-    shops: int
+    shops: int  # copies of the script's gateways and caches, each in a location of its own
     policy: str
     seed: int
     figures: list[float]
     gets: int
-    faults: int  # what stand-ins saw that the protocol forbids, or effects twice
-    digest: str  # of all that was seen
+    faults: int  # violations seen by the nodes: effects that ran twice, forwards that name a drained node
+    digest: str  # of everything recorded in the run
 
 
 @dataclass(slots=True, frozen=True)
@@ -78,129 +86,140 @@
         return next(policy for policy in self.policies if policy.name == name)
 
     def key(self, cell: Cell, code: str) -> str:
-        """Where a cell's outcome is kept: what it follows from, and nothing else."""
+        """Returns the key of a cell's stored outcome: a hash of all its inputs and of nothing else."""
         parts = (code, self.script, self.policy(cell.policy), cell.shops, cell.seed, self.measures)
-        # sets in order: their own differs from process to process
+        # "deterministic" sorts sets, whose order differs between processes
         return blake2b(msgspec.json.encode(parts, order="deterministic"), digest_size=12).hexdigest()
 
 
 def load(path: str) -> Experiment:
+    """Reads and checks an experiment's file; raises `kdl.Fault`."""
     top = kdl.read(path)
-    named = top.text("script")
-    if not named:
-        raise top.fault("lacks the field script")
-    played = script.load(str(Path(path).parent / named))
+    script_path = top.text("script")
+    if not script_path:
+        raise top.fault("the field script is missing")
+    loaded = script.load(str(Path(path).parent / script_path))
     if lasts := top.span("lasts", 0.0):
-        played = replace(played, lasts=min(lasts, played.lasts))
+        loaded = replace(loaded, lasts=min(lasts, loaded.lasts))
     first = int(top.number("first-seed", 1, 0, 1 << 30))
-    seeds = tuple(range(first, first + int(top.number("seeds", 5, 1, MOST_SEEDS))))
-    shops = sizes(top, bool(played.zones))
-    policies = tuple(policy(section) for section in top.all("policy")) or (Policy("all", (), MECHANISM),)
-    measures = tuple(measure(section, played) for section in top.all("measure"))
+    seeds = tuple(range(first, first + int(top.number("seeds", 5, 1, MAX_SEEDS))))
+    shops = read_shops(top, bool(loaded.zones))
+    policies = tuple(read_policy(section) for section in top.all("policy")) or (
+        Policy("all", (), DEFAULT_ROUTER),
+    )
+    measures = tuple(read_measure(section, loaded) for section in top.all("measure"))
     if not measures:
-        raise top.fault("names no measure")
+        raise top.fault("at least one measure is required")
     if len({one.name for one in policies}) < len(policies):
-        raise top.fault("names a policy twice", "policy")
+        raise top.fault("two policies have the same name", "policy")
     about = top.text("about", Path(path).stem)
     top.finish()
-    found = Experiment(Path(path).stem, about, played, seeds, shops, policies, measures)
-    if len(found.cells()) > MOST_CELLS:
-        raise top.fault(f"needs {len(found.cells())} plays, more than {MOST_CELLS}")
-    return found
+    experiment = Experiment(Path(path).stem, about, loaded, seeds, shops, policies, measures)
+    if len(experiment.cells()) > MAX_CELLS:
+        raise top.fault(f"needs {len(experiment.cells())} runs, more than the maximum of {MAX_CELLS}")
+    return experiment
 
 
-def sizes(top: kdl.Section, zoned: bool) -> tuple[int, ...]:
+def read_shops(top: kdl.Section, has_zones: bool) -> tuple[int, ...]:
     sections = top.all("shops")
     if not sections:
         return (1,)
-    found = []
+    shops = []
     for value in sections[0].args:
         if isinstance(value, bool) or not isinstance(value, int) or not 1 <= value <= MOST_SHOPS:
-            raise sections[0].fault(f"{value!r} is not a whole number from 1 to {MOST_SHOPS}")
-        found.append(value)
-    if not found or len(sections) > 1:
-        raise sections[0].fault("takes one number of shops or more, once")
-    if zoned and found != [1]:
-        raise sections[0].fault("a script of zones says which gateways there are, and has no sizes")
-    return tuple(dict.fromkeys(found))
+            raise sections[0].fault(f"{value!r} is not an integer from 1 to {MOST_SHOPS}")
+        shops.append(value)
+    if not shops or len(sections) > 1:
+        raise sections[0].fault("must be given once, with at least one number")
+    if has_zones and shops != [1]:
+        raise sections[0].fault("a script with zones defines its gateways itself, so shops can only be 1")
+    return tuple(dict.fromkeys(shops))
 
 
-def policy(section: kdl.Section) -> Policy:
+def read_policy(section: kdl.Section) -> Policy:
     if len(section.args) != 1 or not isinstance(section.args[0], str) or not section.args[0]:
-        raise section.fault("takes the policy's name")
-    without, router = section.texts("without"), section.text("router", MECHANISM)
-    for piece in without:
-        if piece not in PIECES:
-            raise section.fault(f"{piece} is none of {', '.join(PIECES)}", "without")
+        raise section.fault("must have the policy's name as its only argument")
+    without, router = section.texts("without"), section.text("router", DEFAULT_ROUTER)
+    for feature in without:
+        if feature not in PIECES:
+            raise section.fault(f"{feature} is not one of {', '.join(PIECES)}", "without")
     if router not in NAMES:
-        raise section.fault(f"{router} is none of {', '.join(NAMES)}", "router")
+        raise section.fault(f"{router} is not one of {', '.join(NAMES)}", "router")
     section.finish()
     return Policy(section.args[0], tuple(sorted(without)), router)
 
 
-def measure(section: kdl.Section, played: script.Script) -> Measure:
+def read_measure(section: kdl.Section, loaded: script.Script) -> Measure:
     if len(section.args) != 1 or section.args[0] not in CHECKS:
-        raise section.fault(f"takes one of {', '.join(CHECKS)}")
+        raise section.fault(f"must be one of {', '.join(CHECKS)}")
     name, of = str(section.args[0]), section.text("of")
-    start, end = section.span("from", 0.0), section.span("until", played.lasts)
+    start, end = section.span("from", 0.0), section.span("until", loaded.lasts)
     better = section.text("better", "more")
     if better not in ("more", "less"):
-        raise section.fault(f"{better} is neither more nor less", "better")
+        raise section.fault(f"{better} is not one of more, less", "better")
     section.finish()
     title = f"{name} {of or 'all'} {start:g} to {end:g} s"
     return Measure(title, Check(name, of, start, end), better)
 
 
 def digest(outcomes: Iterable[Outcome]) -> str:
+    """Returns a hash that does not depend on the order of the outcomes."""
     ordered = sorted(outcomes, key=lambda one: (one.shops, one.policy, one.seed))
     return blake2b(msgspec.json.encode(ordered), digest_size=16).hexdigest()
 
 
 class Pair(msgspec.Struct, frozen=True):
-    """A policy against another over one measure: the mean difference, and where it surely lies."""
+    """A paired comparison of two policies by one measure: the mean difference and its confidence interval."""
 
     measure: str
     shops: int
     policy: str
     against: str
     mean: float
-    base: float
+    base: float  # mean of `against`
     difference: float
-    low: float
+    low: float  # bounds of the confidence interval of `difference`
     high: float
-    pairs: int
+    pairs: int  # seeds
     verdict: str  # better, worse or can't tell
 
 
 def compare(experiment: Experiment, outcomes: Sequence[Outcome], against: str) -> list[Pair]:
+    """Compares each policy with `against`, for each measure and size, over the seeds that both have run."""
     by_cell = {(one.shops, one.policy, one.seed): one for one in outcomes}
-    found = []
-    for place, measured in enumerate(experiment.measures):
+    comparisons = []
+    for index, measure in enumerate(experiment.measures):
         for shops in experiment.shops:
-            for one in experiment.policies:
-                if one.name == against:
+            for policy in experiment.policies:
+                if policy.name == against:
                     continue
                 both = []
                 for seed in experiment.seeds:
-                    mine, other = by_cell.get((shops, one.name, seed)), by_cell.get((shops, against, seed))
-                    if mine is not None and other is not None:
-                        both.append((mine.figures[place], other.figures[place]))
+                    outcome, baseline = (
+                        by_cell.get((shops, policy.name, seed)), by_cell.get((shops, against, seed)),
+                    )  # fmt: skip
+                    if outcome is not None and baseline is not None:
+                        both.append((outcome.figures[index], baseline.figures[index]))
                 if both:
-                    found.append(pair(measured, shops, one.name, against, both))
-    return found
+                    comparisons.append(pair(measure, shops, policy.name, against, both))
+    return comparisons
 
 
 def pair(
-    measured: Measure, shops: int, name: str, against: str, both: Sequence[tuple[float, float]]
+    measure: Measure, shops: int, name: str, against: str, both: Sequence[tuple[float, float]]
 ) -> Pair:
+    """Compares two policies by the figures of each seed (`both`: the policy's and the other's).
+
+    The confidence interval is a bootstrap of the differences; its random numbers depend only on their count.
+    """
     figures = np.asarray(both, dtype=float)
     differences = figures[:, 0] - figures[:, 1]
-    drawn = np.random.default_rng(len(differences)).choice(differences, (RESAMPLES, len(differences)))
-    low, high = np.quantile(drawn.mean(axis=1), [(1 - SURE) / 2, (1 + SURE) / 2])
+    resampled = np.random.default_rng(len(differences)).choice(differences, (RESAMPLES, len(differences)))
+    low, high = np.quantile(resampled.mean(axis=1), [(1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2])
     verdict = "can't tell"
-    if len(differences) >= LEAST_PAIRS and (low > 0 or high < 0):
-        verdict = "better" if (low > 0) == (measured.better == "more") else "worse"
-    shown = [*figures.mean(axis=0), differences.mean(), low, high]
-    mean, base, difference, low, high = (round(float(figure), 4) for figure in shown)
+    if len(differences) >= MIN_PAIRS and (low > 0 or high < 0):
+        verdict = "better" if (low > 0) == (measure.better == "more") else "worse"
+    values = [*figures.mean(axis=0), differences.mean(), low, high]
+    mean, base, difference, low, high = (round(float(value), 4) for value in values)
     pairs = len(differences)
-    return Pair(measured.title, shops, name, against, mean, base, difference, low, high, pairs, verdict)
+    return Pair(measure.title, shops, name, against, mean, base, difference, low, high, pairs, verdict)
--- a/damsonstream/emulator/viewers.py
+++ b/damsonstream/emulator/viewers.py
@@ -1,7 +1,7 @@
-"""Viewers in virtual time: open loop, further tries where a GET was shed or lost, as the stand-ins' front.
+"""Viewers in virtual time: an open-loop load that retries shed or lost GETs, like the stand-in clients.
 
-How it is called: `Front(play, ...)` with `begin(arrivals)`; each try is written down with its outcome, timed
-from when it was meant to be sent. Chance comes from the seed.
+Usage: `Viewers(emulation, ...)` with `start(arrivals)`. Each try is recorded with its outcome and timed from
+the moment at which it should have been sent. All randomness comes from the seed.
 """
 
 from __future__ import annotations
@@ -13,93 +13,99 @@
 from typing import TYPE_CHECKING
 
 from damsonstream.emulator.engine import Process, S, Signal
-from damsonstream.emulator.gateway import LINK, Gateway
+from damsonstream.emulator.gateway import ONE_WAY_DELAY, Gateway
 from damsonstream.standins import clients
 from damsonstream.standins.traffic import Arrival, Catalogue
 
 if TYPE_CHECKING:
     from damsonstream.emulator.play import Play
 
-LEAST = S // 20  # of a viewer's time: with less left it tries no more
+MIN_TIME_LEFT = S // 20  # ticks; a viewer with less time left does not try again
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
-    """One try, on its way to a gateway and back."""
+class PendingTry:
+    """One try of a viewer, from its way to the gateway to its answer."""
 
     gateway: Gateway
     arrival: Arrival
-    left: int
+    time_left: int
     repeated: bool
-    ended: Signal
+    ended: Signal  # outcome, ticks after which to retry
     leave: Callable[[], None] | None = None
 
-    def come(self, group: int) -> None:
-        def take() -> None:
+    def arrive(self, group: int) -> None:
+        """Passes the GET to the gateway; with a dead one it is lost."""
+
+        def accept() -> None:
             arrival = self.arrival
-            self.leave = self.gateway.take(arrival.offer.name, arrival.thing, group, arrival.token, self.left,
-                                           self.repeated, lambda *end: self.ended.set(end))  # fmt: skip
+            self.leave = self.gateway.accept_get(arrival.offer.name, arrival.thing, group, arrival.token,
+                                                 self.time_left, self.repeated,
+                                                 lambda *end: self.ended.set(end))  # fmt: skip
 
         if self.gateway.alive:
-            self.gateway.run(take)
+            self.gateway.dispatch(accept)
         else:
             self.ended.set(("lost", 0))
 
 
-class Front:
-    def __init__(self, play: Play, catalogue: Catalogue, weights: dict[str, float], seed: int) -> None:
-        self.play, self.engine, self.catalogue, self.weights = play, play.engine, catalogue, weights
+class Viewers:
+    def __init__(self, emulation: Play, catalogue: Catalogue, weights: dict[str, float], seed: int) -> None:
+        self.emulation, self.engine, self.catalogue, self.weights = (
+            emulation, emulation.engine, catalogue, weights,
+        )  # fmt: skip
         self.weighted = len(set(weights.values())) > 1
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.tries: list[clients.Try] = []
         self.open = self.unsent = 0
 
-    def begin(self, arrivals: Iterator[Arrival]) -> None:
-        """Each arrival sets the next, so that they are drawn as time goes."""
+    def start(self, arrivals: Iterator[Arrival]) -> None:
+        """Schedules the next arrival, which schedules the one after it; arrivals are drawn only when due."""
         arrival = next(arrivals, None)
         if arrival is None:
             return
 
-        def come() -> None:
-            self.engine.begin(self.wish(arrival))
-            self.begin(arrivals)
+        def arrive() -> None:
+            self.engine.spawn(self.request(arrival))
+            self.start(arrivals)
 
-        self.engine.at(int(arrival.at * S), come)
+        self.engine.at(int(arrival.at * S), arrive)
 
-    def pick(self) -> Gateway | None:
-        up = self.play.up()
-        if not up:
+    def pick_gateway(self) -> Gateway | None:
+        ready = self.emulation.ready_gateways()
+        if not ready:
             return None
         if self.weighted:
-            return self.chance.choices(up, [self.weights.get(one.name, 1.0) or 1e-9 for one in up])[0]
-        return up[int(self.chance.random() * len(up))]
+            return self.rng.choices(ready, [self.weights.get(one.name, 1.0) or 1e-9 for one in ready])[0]
+        return ready[int(self.rng.random() * len(ready))]
 
-    def wish(self, arrival: Arrival) -> Process[None]:
+    def request(self, arrival: Arrival) -> Process[None]:
+        """Sends a viewer's GET, with retries, until it is answered or the viewer's patience ends."""
         engine, offer = self.engine, arrival.offer
-        until = engine.now + offer.patience_ms * S // 1000
+        deadline = engine.now + offer.patience_ms * S // 1000
         self.open += 1
-        for further in range(clients.FURTHER + 1):
-            left = until - engine.now
-            if left <= LEAST:
+        for retries in range(clients.FURTHER + 1):
+            time_left = deadline - engine.now
+            if time_left <= MIN_TIME_LEFT:
                 break
-            gateway = self.pick()
+            gateway = self.pick_gateway()
             if gateway is None:
                 self.unsent += 1
-                yield min(left, int(clients.RETRY * S))
+                yield min(time_left, int(clients.RETRY * S))
                 continue
             ended = Signal(engine)
-            one = clients.Try("", gateway.name, offer.name, arrival.thing, engine.now / S, further)
-            self.tries.append(one)
-            asked = Asked(gateway, arrival, left, further > 0, ended)
-            engine.after(LINK, partial(asked.come, self.catalogue.group(arrival.thing)))
-            engine.after(left, partial(ended.set, ("late", 0)))
-            one.outcome, come_back = yield ended
-            one.took = engine.now / S - one.sent
-            if one.outcome == "late" and asked.leave is not None:
-                asked.leave()
-            if one.outcome not in ("shed", "lost"):
+            record = clients.Try("", gateway.name, offer.name, arrival.thing, engine.now / S, retries)
+            self.tries.append(record)
+            pending = PendingTry(gateway, arrival, time_left, retries > 0, ended)
+            engine.after(ONE_WAY_DELAY, partial(pending.arrive, self.catalogue.group(arrival.thing)))
+            engine.after(time_left, partial(ended.set, ("late", 0)))
+            record.outcome, retry_after = yield ended
+            record.took = engine.now / S - record.sent
+            if record.outcome == "late" and pending.leave is not None:
+                pending.leave()
+            if record.outcome not in ("shed", "lost"):
                 break
-            if one.outcome == "lost" and arrival.token and further:
+            if record.outcome == "lost" and arrival.token and retries:
                 break
-            yield come_back or clients.AGAIN_MS * S // 1000
+            yield retry_after or clients.AGAIN_MS * S // 1000
         self.open -= 1
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""Fleets in virtual time: the engine, scripts against their verdicts on processes, experiments, hunts."""
+"""The emulator: engine, verdicts of scripts compared with those on real processes, experiments, hunts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from damsonstream.emulator import baselines, hunt, runs, study
-from damsonstream.emulator.engine import Engine, Lanes, Process, S, Signal
+from damsonstream.emulator.engine import Engine, Process, S, Semaphore, Signal
 from damsonstream.emulator.play import Play, Unfit
 from damsonstream.program.commands import experiment as command
 from damsonstream.program.config import footprint
@@ -22,7 +22,7 @@
 from tests.helpers import TraceCase
 
 SCRIPTS = Path("examples/together")
-SMALL = """script "SCRIPT"
+SMALL_EXPERIMENT = """script "SCRIPT"
 lasts "8s"
 seeds 2
 policy "in common"
@@ -32,133 +32,133 @@
 """
 
 
-def loaded(text: str) -> study.Experiment:
+def load_experiment(text: str) -> study.Experiment:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "small.kdl")
         path.write_text(text.replace("SCRIPT", str((SCRIPTS / "evidence.kdl").resolve())))
         return study.load(str(path))
 
 
-def counted(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
-    """A cell that costs nothing, and notes that it was played."""
-    with Path(os.environ["DAMSONSTREAM_TEST_PLAYED"]).open("a") as file:
+def fake_run(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
+    """Runs nothing and logs the cell."""
+    with Path(os.environ["DAMSONSTREAM_TEST_CELLS"]).open("a") as file:
         file.write(f"{cell.policy}/{cell.seed}\n")
     return study.Outcome(cell.shops, cell.policy, cell.seed, [float(cell.seed), 0.0], 1, 0, "")
 
 
-def killed(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
-    """The first worker that plays the second seed is gone in the middle of it."""
-    mark = Path(os.environ["DAMSONSTREAM_TEST_PLAYED"] + ".killed")
+def run_and_kill_worker(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
+    """Like `fake_run`, but the first worker that runs seed 2 dies."""
+    mark = Path(os.environ["DAMSONSTREAM_TEST_CELLS"] + ".killed")
     if cell.seed == 2 and not mark.exists():
         mark.touch()
         os._exit(9)
-    return counted(experiment, cell)
+    return fake_run(experiment, cell)
 
 
-def keeps(play: tuple[str, str]) -> int:
-    """On how many of three seeds a script's bounds are kept, without a piece."""
-    told, without = script.load(str(SCRIPTS / f"{play[0]}.kdl")), frozenset({play[1]} - {""})
+def count_kept(case: tuple[str, str]) -> int:
+    """Returns for how many of three seeds a script keeps its bounds; `case`: script, feature switched off."""
+    loaded, without = script.load(str(SCRIPTS / f"{case[0]}.kdl")), frozenset({case[1]} - {""})
     return sum(
-        verdict.result(told, without, Play(told, footprint, without, seed).run(), 0.0).verdict == "kept"
+        verdict.result(loaded, without, Play(loaded, footprint, without, seed).run(), 0.0).verdict == "kept"
         for seed in (2, 3, 4)
     )
 
 
 class Engines(unittest.TestCase):
-    def test_one_instant_goes_in_order_and_a_cancelled_wait_gives_its_lane_on(self) -> None:
-        engine, seen = Engine(), list[str]()
-        lanes, known = Lanes(engine, 1), Signal(engine)
+    def test_same_instant_runs_in_order_and_cancelled_tasks_free_their_slot(self) -> None:
+        engine, log = Engine(), list[str]()
+        semaphore, signal = Semaphore(engine, 1), Signal(engine)
 
-        def one(name: str, long: int) -> Process[None]:
-            yield from lanes.enter()
+        def work(name: str, duration: int) -> Process[None]:
+            yield from semaphore.acquire()
             try:
-                seen.append(f"{engine.now} {name}")
-                yield long
+                log.append(f"{engine.now} {name}")
+                yield duration
             finally:
-                lanes.leave()
-
-        def waits() -> Process[None]:
-            word = yield known
-            seen.append(f"{engine.now} told {word}")
-
-        tasks = [engine.begin(one(name, 10)) for name in "abcd"]
-        engine.begin(waits())
-        engine.at(5, lambda: seen.append("5 first"))
-        engine.at(5, tasks[1].cancel)  # out of the line
-        engine.at(12, tasks[2].cancel)  # in the middle of its work
-        engine.at(12, lambda: known.set("yes"))
+                semaphore.release()
+
+        def wait() -> Process[None]:
+            value = yield signal
+            log.append(f"{engine.now} signal {value}")
+
+        tasks = [engine.spawn(work(name, 10)) for name in "abcd"]
+        engine.spawn(wait())
+        engine.at(5, lambda: log.append("5 first"))
+        engine.at(5, tasks[1].cancel)  # while it is queued
+        engine.at(12, tasks[2].cancel)  # while it holds the slot
+        engine.at(12, lambda: signal.set("yes"))
         engine.until(100)
-        self.assertEqual(seen, ["0 a", "5 first", "10 c", "12 d", "12 told yes"])
-        self.assertEqual((engine.now, lanes.free), (100, 1))
+        self.assertEqual(log, ["0 a", "5 first", "10 c", "12 d", "12 signal yes"])
+        self.assertEqual((engine.now, semaphore.free), (100, 1))
 
-    def test_a_queue_waits_as_long_as_theory_says(self) -> None:
-        """M/M/c by Erlang's formula: 3 lanes, four fifths busy."""
-        engine, chance, waited = Engine(), random.Random(3), list[int]()
-        lanes, mean, load = Lanes(engine, 3), 1000.0, 2.4
+    def test_queueing_time_matches_theory(self) -> None:
+        """Erlang's formula for M/M/c: 3 slots at a utilization of 0.8."""
+        engine, rng, waits = Engine(), random.Random(3), list[int]()
+        semaphore, mean, load = Semaphore(engine, 3), 1000.0, 2.4
 
-        def get() -> Process[None]:
-            came = engine.now
-            yield from lanes.enter()
-            waited.append(engine.now - came)
-            yield int(chance.expovariate(1 / mean))
-            lanes.leave()
+        def serve() -> Process[None]:
+            arrived = engine.now
+            yield from semaphore.acquire()
+            waits.append(engine.now - arrived)
+            yield int(rng.expovariate(1 / mean))
+            semaphore.release()
 
         def arrive() -> None:
-            engine.begin(get())
-            engine.after(max(1, int(chance.expovariate(load / mean))), arrive)
+            engine.spawn(serve())
+            engine.after(max(1, int(rng.expovariate(load / mean))), arrive)
 
         arrive()
         engine.until(40_000 * 1000)
         head = sum(load**n / f for n, f in ((0, 1), (1, 1), (2, 2)))
         tail = load**3 / 6 / (1 - load / 3)
         theory = tail / (head + tail) * mean / (3 - load)
-        self.assertAlmostEqual(sum(waited) / len(waited) / theory, 1.0, delta=0.05)
+        self.assertAlmostEqual(sum(waits) / len(waits) / theory, 1.0, delta=0.05)
 
 
-class Plays(TraceCase):
-    def test_scripts_have_the_verdicts_that_processes_have(self) -> None:
-        """Kept on two seeds of three at least, and on none without its piece."""
+class Emulations(TraceCase):
+    def test_scripts_have_the_same_verdicts_as_on_processes(self) -> None:
+        """Bounds are kept on at least two seeds of three, and on none without the script's feature."""
         names = sorted(path.stem for path in SCRIPTS.glob("*.kdl"))
-        plays: list[tuple[str, str]] = []
+        cases: list[tuple[str, str]] = []
         for name in names:
-            told = script.load(str(SCRIPTS / f"{name}.kdl"))
-            piece = "zones" if told.zones else told.piece
-            plays += [(name, ""), *([(name, piece)] if piece else [])]
-        found = []
+            loaded = script.load(str(SCRIPTS / f"{name}.kdl"))
+            feature = "zones" if loaded.zones else loaded.piece
+            cases += [(name, ""), *([(name, feature)] if feature else [])]
+        lines = []
         with ProcessPoolExecutor(4, multiprocessing.get_context("spawn")) as pool:
-            for (name, piece), kept in zip(plays, pool.map(keeps, plays), strict=True):
-                what = "kept" if kept > 1 else "broken" if kept == 0 else f"kept {kept} of 3"
-                found.append(f"{name}{f' without {piece}' * (piece != '')}: {what}")
-        self.check("emulated", found)
+            for (name, feature), kept in zip(cases, pool.map(count_kept, cases), strict=True):
+                result = "kept" if kept > 1 else "broken" if kept == 0 else f"kept {kept} of 3"
+                lines.append(f"{name}{f' without {feature}' * (feature != '')}: {result}")
+        self.check("emulated", lines)
 
-    def test_one_seed_one_play(self) -> None:
-        told = script.load(str(SCRIPTS / "smoke.kdl"))
+    def test_same_seed_gives_the_same_run(self) -> None:
+        loaded = script.load(str(SCRIPTS / "smoke.kdl"))
 
         def digest(seed: int) -> str:
-            play = Play(told, footprint, frozenset(), seed)
-            play.run()
-            return play.digest()
+            emulation = Play(loaded, footprint, frozenset(), seed)
+            emulation.run()
+            return emulation.digest()
 
         self.assertEqual(digest(1), digest(1))
         self.assertNotEqual(digest(1), digest(2))
 
-    def test_rules_hold_with_every_router(self) -> None:
-        """No effect twice, nothing to what drains, with baselines too."""
-        told = script.load(str(SCRIPTS / "smoke.kdl"))
+    def test_no_policy_breaks_a_rule(self) -> None:
+        """No effect runs twice and no drained node gets a forward, with the baselines too."""
+        loaded = script.load(str(SCRIPTS / "smoke.kdl"))
         for name in baselines.NAMES:
-            play = Play(told, footprint, frozenset(), 3, router=baselines.maker(name, 3))
-            seen = play.run()
+            emulation = Play(loaded, footprint, frozenset(), 3, router=baselines.maker(name, 3))
+            seen = emulation.run()
             self.assertEqual((name, seen.faults), (name, []))
             self.assertGreater(sum(one.outcome == "returned" for one in seen.tries), 500)
 
-    def test_more_shops(self) -> None:
-        told = script.load(str(SCRIPTS / "evidence.kdl"))
-        play = Play(told, footprint, frozenset(), 1, shops=6)
-        seen = play.run()
-        self.assertEqual((len(seen.names), play.footprint(47).location), (48, "shop-6"))
-        self.assertEqual(play.footprint(47).location_gateways, 8)
-        asked = {one.cache.rsplit("-", 1)[0] for one in seen.forwards if one.gateway == "n48"}
-        self.assertEqual(asked, {"cache-6"})
+    def test_each_shop_is_a_location_of_its_own(self) -> None:
+        loaded = script.load(str(SCRIPTS / "evidence.kdl"))
+        emulation = Play(loaded, footprint, frozenset(), 1, shops=6)
+        seen = emulation.run()
+        self.assertEqual((len(seen.names), emulation.footprint(47).location), (48, "shop-6"))
+        self.assertEqual(emulation.footprint(47).location_gateways, 8)
+        caches = {one.cache.rsplit("-", 1)[0] for one in seen.forwards if one.gateway == "n48"}
+        self.assertEqual(caches, {"cache-6"})
         with self.assertRaises(Unfit):
             Play(script.load(str(SCRIPTS / "zone-loss.kdl")), footprint, frozenset(), 1, shops=2)
 
@@ -168,99 +168,104 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.log = self.folder / "played"
-        os.environ["DAMSONSTREAM_TEST_PLAYED"] = str(self.log)
-        self.addCleanup(os.environ.pop, "DAMSONSTREAM_TEST_PLAYED")
+        self.log = self.folder / "cells"
+        os.environ["DAMSONSTREAM_TEST_CELLS"] = str(self.log)
+        self.addCleanup(os.environ.pop, "DAMSONSTREAM_TEST_CELLS")
 
-    def played(self) -> list[str]:
+    def cells_run(self) -> list[str]:
         return sorted(self.log.read_text().splitlines()) if self.log.exists() else []
 
-    def test_the_digest_is_the_same_on_any_number_of_workers(self) -> None:
-        told = loaded(SMALL)
-        found = [runs.run(told, self.folder / str(n), n, "code", command.play) for n in (1, 3)]
-        self.assertEqual(study.digest(found[0]), study.digest(reversed(found[1])))
-        self.assertEqual(len(found[0]), 4)
+    def test_digest_is_the_same_with_any_number_of_workers(self) -> None:
+        experiment = load_experiment(SMALL_EXPERIMENT)
+        results = [runs.run(experiment, self.folder / str(n), n, "code", command.play) for n in (1, 3)]
+        self.assertEqual(study.digest(results[0]), study.digest(reversed(results[1])))
+        self.assertEqual(len(results[0]), 4)
 
-    def test_a_run_goes_on_where_it_was(self) -> None:
-        told = loaded(SMALL)
+    def test_interrupted_run_resumes(self) -> None:
+        """Stored outcomes are used again, except torn files and those of other code."""
+        experiment = load_experiment(SMALL_EXPERIMENT)
 
-        def stops(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
-            if len(self.played()) == 2:
+        def interrupt(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
+            if len(self.cells_run()) == 2:
                 raise KeyboardInterrupt
-            return counted(experiment, cell)
+            return fake_run(experiment, cell)
 
         with self.assertRaises(KeyboardInterrupt):
-            runs.run(told, self.folder / "kept", 1, "code", stops)
-        self.assertEqual(len(self.played()), 2)
+            runs.run(experiment, self.folder / "kept", 1, "code", interrupt)
+        self.assertEqual(len(self.cells_run()), 2)
         torn = sorted((self.folder / "kept").glob("*.json"))[0]
-        torn.write_bytes(torn.read_bytes()[:20])  # half a file is none
-        whole = runs.run(told, self.folder / "kept", 1, "code", counted)
-        self.assertEqual((len(whole), len(self.played())), (4, 5))
-        runs.run(told, self.folder / "kept", 1, "code", counted)
-        self.assertEqual(len(self.played()), 5)
-        runs.run(told, self.folder / "kept", 1, "other code", counted)
-        self.assertEqual(len(self.played()), 9)
-
-    def test_a_worker_that_is_killed_costs_its_cells_once(self) -> None:
-        whole = runs.run(loaded(SMALL), self.folder / "kept", 2, "code", killed)
-        self.assertEqual(sorted({one.seed for one in whole}), [1, 2])
+        torn.write_bytes(torn.read_bytes()[:20])
+        outcomes = runs.run(experiment, self.folder / "kept", 1, "code", fake_run)
+        self.assertEqual((len(outcomes), len(self.cells_run())), (4, 5))
+        runs.run(experiment, self.folder / "kept", 1, "code", fake_run)
+        self.assertEqual(len(self.cells_run()), 5)
+        runs.run(experiment, self.folder / "kept", 1, "other code", fake_run)
+        self.assertEqual(len(self.cells_run()), 9)
+
+    def test_cells_of_a_killed_worker_are_run_again(self) -> None:
+        outcomes = runs.run(
+            load_experiment(SMALL_EXPERIMENT), self.folder / "kept", 2, "code", run_and_kill_worker
+        )
+        self.assertEqual(sorted({one.seed for one in outcomes}), [1, 2])
         self.assertTrue(Path(f"{self.log}.killed").exists())
 
-    def test_pairs_say_what_can_be_said(self) -> None:
-        told = loaded(SMALL)
-        more, less = told.measures
-        up = [(1.0 + n / 100, 0.9 + n / 100) for n in range(8)]
+    def test_comparison_verdicts(self) -> None:
+        """No verdict where the interval includes 0 or the pairs are too few."""
+        experiment = load_experiment(SMALL_EXPERIMENT)
+        more, less = experiment.measures
+        higher = [(1.0 + n / 100, 0.9 + n / 100) for n in range(8)]
         mixed = [(1.0, 1.0 + (-1) ** n * n) for n in range(8)]
-        found = [study.pair(measure, 1, "a", "b", both).verdict
-                 for measure, both in ((more, up), (less, up), (more, mixed), (more, up[:2]))]  # fmt: skip
-        self.assertEqual(found, ["better", "worse", "can't tell", "can't tell"])
+        verdicts = [study.pair(measure, 1, "a", "b", both).verdict
+                    for measure, both in ((more, higher), (less, higher), (more, mixed),
+                                          (more, higher[:2]))]  # fmt: skip
+        self.assertEqual(verdicts, ["better", "worse", "can't tell", "can't tell"])
 
-    def test_faults_name_line_and_field(self) -> None:
-        def fault(text: str) -> str:
+    def test_errors_in_a_file_name_line_and_field(self) -> None:
+        def error(text: str) -> str:
             with self.assertRaises(kdl.Fault) as caught:
-                loaded(text)
+                load_experiment(text)
             return str(caught.exception).rpartition("small.kdl")[2]
 
         self.assertEqual(
-            [fault(SMALL + line) for line in (
+            [error(SMALL_EXPERIMENT + line) for line in (
                 'measure "returnd"', 'policy "x" { router "best"; }', 'policy "y" { without "turn"; }',
                 'measure "asked" { better "most"; }', "shops 0", "seed 4",
             )],
             [
-                f":8: measure: takes one of {', '.join(CHECKS)}",
-                f":8: policy.router: best is none of {', '.join(baselines.NAMES)}",
-                ":8: policy.without: turn is none of evidence, turns, shares, subsets, members, zones",
-                ":8: measure.better: most is neither more nor less",
-                ":8: shops: 0 is not a whole number from 1 to 128",
+                f":8: measure: must be one of {', '.join(CHECKS)}",
+                f":8: policy.router: best is not one of {', '.join(baselines.NAMES)}",
+                ":8: policy.without: turn is not one of evidence, turns, shares, subsets, members, zones",
+                ":8: measure.better: most is not one of more, less",
+                ":8: shops: 0 is not an integer from 1 to 128",
                 ":8: seed: is not a field",
             ],
         )  # fmt: skip
 
-    def test_a_hunt_makes_short_what_it_finds(self) -> None:
-        """Only a kill matters here: what is left is that one, as short as it still does harm, as a script."""
+    def test_hunt_shortens_the_script_that_it_finds(self) -> None:
+        """Only a kill does harm here: it alone remains, shortened, and can be read back as KDL."""
         base = script.load(str(SCRIPTS / "smoke.kdl"))
 
-        def judge(one: Script) -> float:
-            return -sum(step.lasts for step in one.steps if step.does == "kill") / 10
+        def evaluate(candidate: Script) -> float:
+            return -sum(step.lasts for step in candidate.steps if step.does == "kill") / 10
 
-        found = hunt.hunt(base, judge, 400, 5)
-        one = found.script
-        self.assertEqual((one.nodes, one.links, {step.does for step in one.steps}), ((), (), {"kill"}))
-        self.assertLessEqual(found.figure, hunt.KEEPS * found.first)
+        found = hunt.hunt(base, evaluate, 400, 5)
+        worst = found.script
+        self.assertEqual((worst.nodes, worst.links, {step.does for step in worst.steps}), ((), (), {"kill"}))
+        self.assertLessEqual(found.figure, hunt.KEPT_SCORE * found.first)
         path = self.folder / "hunted.kdl"
-        path.write_text(hunt.text(one))
-        self.assertEqual(script.load(str(path)).steps, one.steps)
+        path.write_text(hunt.text(worst))
+        self.assertEqual(script.load(str(path)).steps, worst.steps)
 
-    def test_what_a_hunt_draws_can_be_played_and_read_back(self) -> None:
+    def test_drawn_scripts_can_be_run_and_read_back(self) -> None:
         base = script.load(str(SCRIPTS / "smoke.kdl"))
-        chance = random.Random(11)
+        rng = random.Random(11)
         for _ in range(40):
-            drawn = hunt.draw(base, chance)
+            drawn = hunt.draw(base, rng)
             path = self.folder / "drawn.kdl"
             path.write_text(hunt.text(drawn))
-            again = script.load(str(path))
-            self.assertEqual((again.nodes, again.steps), (drawn.nodes, drawn.steps))
-            self.assertEqual(set(again.links), set(drawn.links))
+            loaded = script.load(str(path))
+            self.assertEqual((loaded.nodes, loaded.steps), (drawn.nodes, drawn.steps))
+            self.assertEqual(set(loaded.links), set(drawn.links))
         seen = Play(drawn, footprint, frozenset(), 1).run()
         self.assertEqual(seen.faults, [])
         self.assertTrue(all(one.at < drawn.lasts + S for one in seen.tries))
