--- a/damsonstream/emulator/baselines.py
+++ b/damsonstream/emulator/baselines.py
@@ -1,10 +1,10 @@
 """Baseline policies that take the router's place in experiments, for comparison. No I/O.
 
-Usage: `maker(name, seed)` returns a factory that makes the policy of each gateway; `NAMES` lists the known
-ones. A policy handles the router's events (routing/interface.py). The plain ones have no circuit breaker, no
-slow start for cold caches and no queue. They follow the same rules for effects and answer within the viewer
-timeout, so that the comparison shows only where GETs are forwarded, whether they are retried, and what is
-shed.
+Usage: `policy_factory(name, seed)` returns a factory that makes the policy of each gateway; `ROUTERS` lists
+the known ones. A policy handles the router's events (routing/interface.py). The plain ones have no circuit
+breaker, no slow start for cold caches and no queue. They follow the same rules for effects and answer within
+the viewer timeout, so that the comparison shows only where GETs are forwarded, whether they are retried, and
+what is shed.
 """
 
 from __future__ import annotations
--- a/damsonstream/emulator/gateway.py
+++ b/damsonstream/emulator/gateway.py
@@ -336,7 +336,7 @@
             if node.condition().down:  # the relay accepted the connection, but nothing listens behind it
                 return self.schedule(ONE_WAY_DELAY, lambda: self.end_attempt(get, attempt, "broken"))
             source_node = emulation.world.by_uid.get(source)
-            emulation.seen.forwards.append(
+            emulation.record.forwards.append(
                 Forwarded(self.engine.now / S, self.name, node.name, source_node.name if source_node else "")
             )
             emulation.world.check_drains(node, source_node)
@@ -370,7 +370,7 @@
         now = self.engine.now
         self.close_if_idle(node, now)
         if node not in self.connections:
-            self.emulation.seen.opened.append((now / S, self.name, node))
+            self.emulation.record.opened.append((now / S, self.name, node))
             self.connections[node] = (now, now)
         self.connections[node] = (self.connections[node][0], now)
 
@@ -386,4 +386,4 @@
 
     def close_connection(self, node: str, time: int) -> None:
         if self.connections.pop(node, None) is not None:
-            self.emulation.seen.closed.append((time / S, self.name, node))
+            self.emulation.record.closed.append((time / S, self.name, node))
--- a/damsonstream/emulator/hunt.py
+++ b/damsonstream/emulator/hunt.py
@@ -25,7 +25,7 @@
 MAX_FAULT_DURATION = 8.0  # seconds
 SHORTENING_SHARE = 0.4  # of the budget, reserved for shortening the worst script
 KEPT_SCORE = 0.75  # share of the first score that a shorter script must still reach to replace the longer one
-# Ranges of the amounts: milliseconds for slow and delay, a factor for rate, else a share.
+# Ranges of the amounts: milliseconds for slow and delay, a factor for rate, else a share; (1, 1): no amount.
 NODE_FAULTS = {"fail": (0.2, 1.0), "slow": (50, 800), "hang": (0.2, 1.0), "shed": (0.2, 0.9), "crash": (1, 1)}
 LINK_FAULTS = {"drop": (0.1, 0.9), "delay": (50, 2000), "one-way": (1, 1), "split": (1, 1)}
 STEPS = {"kill": (1, 1), "stall": (1, 1), "purge": (0.1, 1.0), "rate": (1.5, 4.0)}
--- a/damsonstream/emulator/page.py
+++ b/damsonstream/emulator/page.py
@@ -12,7 +12,7 @@
 import msgspec
 from jinja2 import Environment
 
-from damsonstream.emulator.study import Outcome, Pair
+from damsonstream.emulator.study import Comparison, Outcome
 
 
 class Result(msgspec.Struct):
@@ -24,7 +24,7 @@
     digest: str
     measures: list[str]  # titles, in the order of `Outcome.figures`
     outcomes: list[Outcome]
-    pairs: list[Pair]
+    pairs: list[Comparison]
 
 
 PAGE_TEMPLATE = """<!doctype html>
--- a/damsonstream/emulator/play.py
+++ b/damsonstream/emulator/play.py
@@ -82,7 +82,7 @@
                 figures.settings(script, index, location_of, gateway_counts, MODELS, world.locations)
             )
         )
-        self.seen = Seen(names)
+        self.record = Seen(names)
         self.zone_by_node = figures.zones(script, cache_count)
         self.uids = {name: node.uid for name, node in world.nodes.items()}
         self.revision, self.hierarchy = 0, ""
@@ -119,8 +119,8 @@
 
     def send_datagram(self, sender: Gateway, index: int, data: bytes) -> None:
         now, rng, receiver = self.engine.now / S, self.datagram_rng, self.gateways[index]
-        self.seen.datagrams.append((now, sender.name, len(data)))
-        self.seen.told += [(now, sender.name, item) for item in wire.read(data).items]
+        self.record.datagrams.append((now, sender.name, len(data)))
+        self.record.told += [(now, sender.name, item) for item in wire.read(data).items]
         link = self.links.between(sender.name, receiver.name, now)
         if link.cut > 0 or link.broken or rng.random() < link.drop:
             return
@@ -131,7 +131,7 @@
 
     def record_fill(self, asker: Node, source: Node) -> None:
         zones = self.zone_by_node.get(asker.name, ""), self.zone_by_node.get(source.name, "")
-        self.seen.fills.append(Filled(self.engine.now / S, asker.name, source.name, *zones))
+        self.record.fills.append(Filled(self.engine.now / S, asker.name, source.name, *zones))
 
     def reset_node(self, node: str) -> None:
         """Resets all connections to a node."""
@@ -197,19 +197,19 @@
         while self.viewers.open and engine.now < (script.lasts + clients.TAIL + clients.CLOSE) * S:
             engine.until(engine.now + S // 50)
         self.complete_record()
-        return self.seen
+        return self.record
 
     def complete_record(self) -> None:
-        seen, now = self.seen, self.engine.now
+        record, now = self.record, self.engine.now
         for gateway in self.gateways:
             for node in list(gateway.connections):
                 gateway.close_if_idle(node, now)
-        seen.tries = [Tried(one.sent, one.gateway, one.outcome) for one in self.viewers.tries]
-        seen.known = {name: source_id(uid) for name, uid in self.uids.items()}
-        seen.zones = {zone_digest(zone.name): zone.name for zone in self.script.zones}
-        seen.faults = [*self.world.violations, *self.world.effects.doubles]
+        record.tries = [Tried(one.sent, one.gateway, one.outcome) for one in self.viewers.tries]
+        record.known = {name: source_id(uid) for name, uid in self.uids.items()}
+        record.zones = {zone_digest(zone.name): zone.name for zone in self.script.zones}
+        record.faults = [*self.world.violations, *self.world.effects.doubles]
 
     def digest(self) -> str:
-        seen = self.seen
-        recorded = (seen.forwards, seen.tries, seen.fills, seen.datagrams, seen.opened, seen.faults)
-        return blake2b(repr(recorded).encode(), digest_size=8).hexdigest()
+        record = self.record
+        parts = (record.forwards, record.tries, record.fills, record.datagrams, record.opened, record.faults)
+        return blake2b(repr(parts).encode(), digest_size=8).hexdigest()
--- a/damsonstream/emulator/runs.py
+++ b/damsonstream/emulator/runs.py
@@ -67,7 +67,7 @@
     experiment: Experiment, folder: Path, workers: int, code: str, run_cell: RunCell,
     on_progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> list[Outcome]:  # fmt: skip
-    """Returns the outcomes of all cells, in the experiment's order; raises `Stopped`."""
+    """Returns the outcomes of all cells, in the experiment's order; raises `WorkersDied`."""
     store, cells = Store(folder), experiment.cells()
     outcomes = {
         cell: stored for cell in cells if (stored := store.find(experiment.key(cell, code))) is not None
--- a/damsonstream/emulator/study.py
+++ b/damsonstream/emulator/study.py
@@ -168,7 +168,7 @@
     return blake2b(msgspec.json.encode(ordered), digest_size=16).hexdigest()
 
 
-class Pair(msgspec.Struct, frozen=True):
+class Comparison(msgspec.Struct, frozen=True):
     """A paired comparison of two policies by one measure: the mean difference and its confidence interval."""
 
     measure: str
@@ -184,7 +184,7 @@
     verdict: str  # better, worse or can't tell
 
 
-def compare(experiment: Experiment, outcomes: Sequence[Outcome], against: str) -> list[Pair]:
+def compare(experiment: Experiment, outcomes: Sequence[Outcome], against: str) -> list[Comparison]:
     """Compares each policy with `against`, for each measure and size, over the seeds that both have run."""
     by_cell = {(one.shops, one.policy, one.seed): one for one in outcomes}
     comparisons = []
@@ -207,7 +207,7 @@
 
 def pair(
     measure: Measure, shops: int, name: str, against: str, both: Sequence[tuple[float, float]]
-) -> Pair:
+) -> Comparison:
     """Compares two policies by the figures of each seed (`both`: the policy's and the other's).
 
     The confidence interval is a bootstrap of the differences; its random numbers depend only on their count.
@@ -222,4 +222,4 @@
     values = [*figures.mean(axis=0), differences.mean(), low, high]
     mean, base, difference, low, high = (round(float(value), 4) for value in values)
     pairs = len(differences)
-    return Pair(measure.title, shops, name, against, mean, base, difference, low, high, pairs, verdict)
+    return Comparison(measure.title, shops, name, against, mean, base, difference, low, high, pairs, verdict)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -147,17 +147,17 @@
         loaded = script.load(str(SCRIPTS / "smoke.kdl"))
         for name in baselines.NAMES:
             emulation = Play(loaded, footprint, frozenset(), 3, router=baselines.maker(name, 3))
-            seen = emulation.run()
-            self.assertEqual((name, seen.faults), (name, []))
-            self.assertGreater(sum(one.outcome == "returned" for one in seen.tries), 500)
+            record = emulation.run()
+            self.assertEqual((name, record.faults), (name, []))
+            self.assertGreater(sum(one.outcome == "returned" for one in record.tries), 500)
 
     def test_each_shop_is_a_location_of_its_own(self) -> None:
         loaded = script.load(str(SCRIPTS / "evidence.kdl"))
         emulation = Play(loaded, footprint, frozenset(), 1, shops=6)
-        seen = emulation.run()
-        self.assertEqual((len(seen.names), emulation.footprint(47).location), (48, "shop-6"))
+        record = emulation.run()
+        self.assertEqual((len(record.names), emulation.footprint(47).location), (48, "shop-6"))
         self.assertEqual(emulation.footprint(47).location_gateways, 8)
-        caches = {one.cache.rsplit("-", 1)[0] for one in seen.forwards if one.gateway == "n48"}
+        caches = {one.cache.rsplit("-", 1)[0] for one in record.forwards if one.gateway == "n48"}
         self.assertEqual(caches, {"cache-6"})
         with self.assertRaises(Unfit):
             Play(script.load(str(SCRIPTS / "zone-loss.kdl")), footprint, frozenset(), 1, shops=2)
@@ -266,9 +266,9 @@
             loaded = script.load(str(path))
             self.assertEqual((loaded.nodes, loaded.steps), (drawn.nodes, drawn.steps))
             self.assertEqual(set(loaded.links), set(drawn.links))
-        seen = Play(drawn, footprint, frozenset(), 1).run()
-        self.assertEqual(seen.faults, [])
-        self.assertTrue(all(one.at < drawn.lasts + S for one in seen.tries))
+        record = Play(drawn, footprint, frozenset(), 1).run()
+        self.assertEqual(record.faults, [])
+        self.assertTrue(all(one.at < drawn.lasts + S for one in record.tries))
 
 
 if __name__ == "__main__":
