--- a/damsonstream/emulator/play.py
+++ b/damsonstream/emulator/play.py
@@ -56,7 +56,7 @@
         """`without`: features that are switched off; `router`: makes the policy of each gateway, by its index
         (default: the real router)."""
         if shops > 1 and script.zones:
-            raise Unfit("a script with zones defines its gateways itself and can't be multiplied by shops")
+            raise Unfit("a script with zones defines its own gateways, so shops must be 1")
         self.script, self.seed, self.shops = script, seed, shops
         self.features = frozenset(PIECES) - without
         self.rng, self.message_price = random.Random(seed), figures.PRICE
--- a/damsonstream/emulator/study.py
+++ b/damsonstream/emulator/study.py
@@ -132,7 +132,7 @@
     if not shops or len(sections) > 1:
         raise sections[0].fault("must be given once, with at least one number")
     if has_zones and shops != [1]:
-        raise sections[0].fault("a script with zones defines its gateways itself, so shops can only be 1")
+        raise sections[0].fault("a script with zones defines its own gateways, so shops must be 1")
     return tuple(dict.fromkeys(shops))
 
 
--- a/damsonstream/emulator/viewers.py
+++ b/damsonstream/emulator/viewers.py
@@ -50,7 +50,9 @@
 
 
 class Viewers:
-    def __init__(self, emulation: Play, catalogue: Catalogue, weights: dict[str, float], seed: int) -> None:
+    def __init__(
+        self, emulation: Play, catalogue: Catalogue, weights: dict[str, float], seed: int
+    ) -> None:  # fmt: skip
         self.emulation, self.engine, self.catalogue, self.weights = (
             emulation, emulation.engine, catalogue, weights,
         )  # fmt: skip
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -57,9 +57,9 @@
 
 def count_kept(case: tuple[str, str]) -> int:
     """Returns for how many of three seeds a script keeps its bounds; `case`: script, feature switched off."""
-    loaded, without = script.load(str(SCRIPTS / f"{case[0]}.kdl")), frozenset({case[1]} - {""})
+    loaded, off = script.load(str(SCRIPTS / f"{case[0]}.kdl")), frozenset({case[1]} - {""})
     return sum(
-        verdict.result(loaded, without, Play(loaded, footprint, without, seed).run(), 0.0).verdict == "kept"
+        verdict.result(loaded, off, Play(loaded, footprint, off, seed).run(), 0.0).verdict == "kept"
         for seed in (2, 3, 4)
     )
 
@@ -144,10 +144,10 @@
 
     def test_no_policy_breaks_a_rule(self) -> None:
         """No effect runs twice and no drained node gets a forward, with the baselines too."""
-        loaded = script.load(str(SCRIPTS / "smoke.kdl"))
+        smoke = script.load(str(SCRIPTS / "smoke.kdl"))
         for name in baselines.NAMES:
-            emulation = Play(loaded, footprint, frozenset(), 3, router=baselines.maker(name, 3))
-            record = emulation.run()
+            fleet = Play(smoke, footprint, frozenset(), 3, router=baselines.maker(name, 3))
+            record = fleet.run()
             self.assertEqual((name, record.faults), (name, []))
             self.assertGreater(sum(one.outcome == "returned" for one in record.tries), 500)
 
