--- a/damsonstream/emulator/hunt.py
+++ b/damsonstream/emulator/hunt.py
@@ -42,7 +42,7 @@
     first: float  # score before the shortening
 
 
-def draw(base: Script, rng: random.Random) -> Script:
+def draw_script(base: Script, rng: random.Random) -> Script:
     """Returns a random script of one to MAX_FAULTS faults."""
     nodes: list[Fault] = []
     links: list[LinkFault] = []
@@ -73,7 +73,7 @@
     return replace(base, name="hunted", nodes=tuple(nodes), links=tuple(links), steps=tuple(steps), checks=())
 
 
-def shorter(script: Script) -> list[Script]:
+def shorter_scripts(script: Script) -> list[Script]:
     """Returns the scripts with one fault less, then those in which one fault lasts half as long."""
     without_one: list[Script] = []
     with_half: list[Script] = []
@@ -96,7 +96,7 @@
     worst: Script | None = None
     worst_score = 0.0
     while evaluated < max(1, int(budget * (1 - SHORTENING_SHARE))):
-        drawn = draw(base, rng)
+        drawn = draw_script(base, rng)
         evaluated += 1
         if (score := evaluate(drawn)) < worst_score or worst is None:
             worst, worst_score = drawn, score
@@ -104,7 +104,7 @@
     first_score, improved = worst_score, worst_score < 0  # nothing to shorten unless a script does harm
     while improved and evaluated < budget:
         improved = False
-        for candidate in shorter(worst):
+        for candidate in shorter_scripts(worst):
             if evaluated >= budget:
                 break
             evaluated += 1
@@ -115,7 +115,7 @@
 
 
 def text(script: Script) -> str:
-    """Returns a drawn script as KDL, without the zones of the base script."""
+    """Returns a drawn script as KDL. Zones are left out: the base script defines them."""
     lines = [f'about "{script.about}"', f'lasts "{script.lasts:g}s"', f"rate {script.rate:g}"]
     lines += [f"gateways {len(script.gateways)}", f"caches {script.caches}", f"hubs {script.hubs}"]
     timing = 'at "{0.at:g}s"; lasts "{0.lasts:g}s"; amount {0.amount:g}'
--- a/damsonstream/emulator/play.py
+++ b/damsonstream/emulator/play.py
@@ -53,8 +53,11 @@
         self, script: Script, footprint: Callable[[dict[str, Any]], Footprint], without: frozenset[str],
         seed: int, *, shops: int = 1, router: Callable[[int], EventHandler] | None = None,
     ) -> None:  # fmt: skip
-        """`without`: features that are switched off; `router`: makes the policy of each gateway, by its index
-        (default: the real router)."""
+        """Sets up the fleet.
+
+        `without`: features that are switched off; `make_router`: the policy for each gateway index, the real
+        router by default.
+        """
         if shops > 1 and script.zones:
             raise Unfit("a script with zones defines its own gateways, so shops must be 1")
         self.script, self.seed, self.shops = script, seed, shops
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -260,7 +260,7 @@
         base = script.load(str(SCRIPTS / "smoke.kdl"))
         rng = random.Random(11)
         for _ in range(40):
-            drawn = hunt.draw(base, rng)
+            drawn = hunt.draw_script(base, rng)
             path = self.folder / "drawn.kdl"
             path.write_text(hunt.text(drawn))
             loaded = script.load(str(path))
