--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -1,12 +1,12 @@
-"""How fast traces are read, in how much memory, and how late a replay is by its rate.
+"""Benchmarks of reading traces (speed, memory) and of replays (own lateness by rate).
 
     .venv/bin/python -P benchmarks/traces.py read --rows 10000000
     .venv/bin/python -P benchmarks/traces.py replay --rates 250 500 1000 2000
     .venv/bin/python -P benchmarks/traces.py misses
 
-`read` writes a file of cache requests, then reads it in processes of their own: with this reader, and with
-the standard library's `csv` for comparison (split and turned into numbers only). `misses` compares sampled
-miss ratios with exact ones.
+`read` writes a file of cache requests and reads it in separate processes: with this reader, and for
+comparison with the standard library's `csv` (splitting and number conversion only). `replay` runs replays at
+several rates. `misses` compares sampled miss ratios with exact ones.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 import numpy as np
 
 from damsonstream.traces import shape
-from damsonstream.traces.reuse import Exact, Reuse
+from damsonstream.traces.reuse import ExactReuse, ReuseEstimator
 
-PLAIN = """
+CSV_SCRIPT = """
 import csv, sys
 n = 0
 with open(sys.argv[1], newline="") as stream:
@@ -37,7 +37,7 @@
 
 
 def timed(command: list[str]) -> tuple[float, float]:
-    """Seconds and MB at the most."""
+    """Runs a command; returns seconds and peak memory in MB."""
     before = time.monotonic()
     process = subprocess.Popen(command, stdout=subprocess.DEVNULL)
     _, code, used = os.wait4(process.pid, 0)
@@ -51,11 +51,11 @@
         character = shape.Character(gets=rows, rate=20_000, objects=1_000_000, alpha=0.9, once=0.1)
         with path.open("w") as stream:
             for gets in shape.generate(character, 1):
-                times, things = (gets["time"] // 1_000_000).tolist(), gets["object"].tolist()
+                times, objects = (gets["time"] // 1_000_000).tolist(), gets["object"].tolist()
                 sizes, clients = gets["size"].tolist(), (gets["client"] % 500).tolist()
                 stream.writelines(
                     f"{t},{k:016x},16,{s},{c},get,0\n"
-                    for t, k, s, c in zip(times, things, sizes, clients, strict=True)
+                    for t, k, s, c in zip(times, objects, sizes, clients, strict=True)
                 )
         print(f"{rows} rows, {path.stat().st_size / 1e6:.0f} MB", flush=True)
         tool = [sys.executable, "-P", "-m", "damsonstream", "traces"]
@@ -64,15 +64,15 @@
             ("convert", [*tool, "convert", str(path), "--format", "cache-requests", "-o", native]),
             ("stats", [*tool, "stats", str(path), "--format", "cache-requests", "--json"]),
             ("stats, native", [*tool, "stats", native, "--json"]),
-            ("csv module", [sys.executable, "-c", PLAIN, str(path)]),
+            ("csv module", [sys.executable, "-c", CSV_SCRIPT, str(path)]),
         ):
-            seconds, most = timed(command)
+            seconds, peak_mb = timed(command)
             print(
-                f"{name:14} {seconds:6.1f} s  {rows / seconds / 1000:6.0f} thousand rows a second  "
-                f"{most:5.0f} MB",
+                f"{name:14} {seconds:6.1f} s  {rows / seconds / 1000:6.0f} thousand rows per second  "
+                f"{peak_mb:5.0f} MB",
                 flush=True,
             )
-        print(f"native form: {Path(native).stat().st_size / rows:.1f} bytes a GET")
+        print(f"native form: {Path(native).stat().st_size / rows:.1f} bytes per GET")
 
 
 def replay(rates: list[int], seconds: float) -> None:
@@ -95,12 +95,12 @@
                 stderr=subprocess.DEVNULL,
             )
             subprocess.run([*tool, "replay", str(trace), "--fleet", "2", "--json", str(out)], check=False)
-            told = json.loads(out.read_text())
-            pages, late = told["services"]["pages"], told["own_lateness_ms"]
+            result = json.loads(out.read_text())
+            pages, late = result["services"]["pages"], result["own_lateness_ms"]
             print(
-                f"{rate:5} a second: own lateness median {late['p50']:.1f} ms, "
-                f"99% {late['p99']:.1f} ms, most "
-                f"{late['max']:.0f} ms; {len(told['stalls'])} stalls; {pages['outcomes']}; latency 99% "
+                f"{rate:5} GETs per second: own lateness median {late['p50']:.1f} ms, "
+                f"99% {late['p99']:.1f} ms, maximum "
+                f"{late['max']:.0f} ms; {len(result['stalls'])} stalls; {pages['outcomes']}; latency 99% "
                 f"{pages['latency_ms']['p99']:.1f} ms",
                 flush=True,
             )
@@ -109,17 +109,17 @@
 def misses() -> None:
     for alpha, once in ((0.6, 0.0), (0.9, 0.0), (0.9, 0.3), (1.2, 0.0)):
         character = shape.Character(gets=1_000_000, objects=100_000, alpha=alpha, once=once)
-        exact, reuse = Exact(), Reuse()
+        exact, reuse = ExactReuse(), ReuseEstimator()
         for gets in shape.generate(character, 3):
             exact.add(gets["object"], gets["size"])
             reuse.add(gets["object"], gets["size"])
         sizes = [10.0, 100, 1000, 10_000, 100_000]
-        found = [(size, misses, error, exact.misses(size)) for size, misses, error in reuse.curve(sizes)]
+        found = [(size, misses, error, exact.miss_ratio(size)) for size, misses, error in reuse.curve(sizes)]
         worst = max(abs(m - e) for _, m, _, e in found)
         print(
-            f"alpha {alpha}, {once:.0%} wanted once: worst {worst:.4f}, mean "
+            f"alpha {alpha}, {once:.0%} requested once: worst error {worst:.4f}, mean "
             f"{np.mean([abs(m - e) for _, m, _, e in found]):.4f}, "
-            f"stated {max(s for _, _, s, _ in found):.4f}; "
+            f"estimated {max(s for _, _, s, _ in found):.4f}; "
             f"{', '.join(f'{size:g}: {m:.3f} for {e:.3f}' for size, m, _, e in found)}",
             flush=True,
         )
--- a/damsonstream/replay/account.py
+++ b/damsonstream/replay/account.py
@@ -1,9 +1,9 @@
-"""The account of a replay: each GET of the trace once, also over kills of the replay. No I/O.
+"""Outcomes of a replay: counts each GET of the trace once, even if the replay is killed and resumed. No I/O.
 
-How it is called: `Account()`; `enter(place, ...)` when a wish has ended, `done(place)` asks; `dump()` and
-`Account.load(bytes)` carry it over a kill. What is in one dump is one state: the places that have ended, and
-the outcomes of just these. So a replay that goes on from it neither repeats nor drops a GET in its account:
-what had ended after the dump is played once more, and counted once.
+Usage: `Account()`; `record(index, ...)` when a GET has ended, `has_ended(index)` to query; `dump()` and
+`Account.load(bytes)` save and restore a checkpoint. A checkpoint is consistent: it has the indices of the
+GETs that have ended and the outcomes of exactly these. A resumed replay therefore neither repeats nor drops a
+GET in its counts: GETs that ended after the checkpoint are sent again, and counted once.
 """
 
 from __future__ import annotations
@@ -16,58 +16,76 @@
 
 from hdrh.histogram import HdrHistogram
 
+# Besides the answers of a gateway (returned, shed, errored): late, the viewer timeout expired; lost, the
+# connection ended; overdue, not sent because the replay was behind by more than the viewer timeout;
+# no-gateway, no gateway was reachable; no-room, no connection had a free stream.
 OUTCOMES = ("returned", "shed", "errored", "late", "lost", "overdue", "no-gateway", "no-room")
-MOST_US = 120_000_000  # latencies are kept up to two minutes
-FORM = 1
+MAX_LATENCY_US = 120_000_000  # larger values are recorded as this one
+FORMAT_VERSION = 1
 
 
 class Unusable(Exception):
-    """The bytes are no account, or not of this trace."""
+    """The bytes are not a valid checkpoint, or belong to another trace."""
 
 
 def histogram() -> HdrHistogram:
-    return HdrHistogram(1, MOST_US, 3)
+    return HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
 @dataclass(slots=True)
-class Service:
+class ServiceCounts:
+    """Outcomes and latencies of one delivery service."""
+
     outcomes: Counter[str] = field(default_factory=Counter)
     tries: int = 0
-    from_intended: HdrHistogram = field(default_factory=histogram)  # microseconds, of returned ones
+    from_intended: HdrHistogram = field(default_factory=histogram)  # latencies of returned GETs, microseconds
     from_sent: HdrHistogram = field(default_factory=histogram)
 
 
 class Account:
+    """The GETs that have ended, with their outcomes."""
+
     def __init__(self, trace: str = "", first: int = 0) -> None:
-        self.trace = trace  # the digest of what is replayed
-        self.low = first  # every place under it has ended
-        self.beyond: set[int] = set()  # ended ones from there on; bounded by what is open at once
-        self.services: dict[str, Service] = {}
-        self.lateness = histogram()  # microseconds between the intended and the real sending
-        self.resumed = 0
-
-    def done(self, place: int) -> bool:
-        return place < self.low or place in self.beyond
-
-    def enter(
-        self, place: int, service: str, outcome: str, tries: int, late: float, took: float, alone: float
+        self.trace = trace  # digest of the trace
+        self.first_open = first  # index of the first GET that has not ended
+        self.ended_ahead: set[int] = set()  # ended GETs after it; bounded by the number of open GETs
+        self.services: dict[str, ServiceCounts] = {}
+        self.send_delays = histogram()  # microseconds from the intended time of a GET to its first sending
+        self.resume_count = 0
+
+    def has_ended(self, index: int) -> bool:
+        """Returns whether the GET has an outcome."""
+        return index < self.first_open or index in self.ended_ahead
+
+    def record(
+        self,
+        index: int,
+        service: str,
+        outcome: str,
+        tries: int,
+        send_delay: float,
+        latency: float,
+        send_latency: float,
     ) -> bool:
-        """Seconds: `late` to the first sending, `took` from the intended time, `alone` from the last sending.
-        False: it was entered before."""
-        if self.done(place):
+        """Records the outcome of a GET. Returns False if it had one already.
+
+        In seconds: `send_delay` from the intended time to the first sending, `latency` from the intended time
+        to the end, `send_latency` from the last sending to the end.
+        """
+        if self.has_ended(index):
             return False
-        self.beyond.add(place)
-        while self.low in self.beyond:
-            self.beyond.remove(self.low)
-            self.low += 1
-        told = self.services.setdefault(service, Service())
-        told.outcomes[outcome] += 1
-        told.tries += tries
+        self.ended_ahead.add(index)
+        while self.first_open in self.ended_ahead:
+            self.ended_ahead.remove(self.first_open)
+            self.first_open += 1
+        counts = self.services.setdefault(service, ServiceCounts())
+        counts.outcomes[outcome] += 1
+        counts.tries += tries
         if tries:
-            self.lateness.record_value(micros(late))
+            self.send_delays.record_value(to_micros(send_delay))
         if outcome == "returned":
-            told.from_intended.record_value(micros(took))
-            told.from_sent.record_value(micros(alone))
+            counts.from_intended.record_value(to_micros(latency))
+            counts.from_sent.record_value(to_micros(send_latency))
         return True
 
     @property
@@ -75,6 +93,7 @@
         return sum(service.outcomes.total() for service in self.services.values())
 
     def dump(self) -> bytes:
+        """Returns a checkpoint: a line with the CRC-32 of the rest, then JSON."""
         services = {
             name: {
                 "outcomes": dict(one.outcomes),
@@ -84,45 +103,50 @@
             }
             for name, one in self.services.items()
         }
-        told = {
-            "form": FORM,
+        state = {
+            "form": FORMAT_VERSION,
             "trace": self.trace,
-            "low": self.low,
-            "beyond": sorted(self.beyond),
+            "low": self.first_open,
+            "beyond": sorted(self.ended_ahead),
             "services": services,
-            "lateness": self.lateness.encode().decode(),
-            "resumed": self.resumed,
+            "lateness": self.send_delays.encode().decode(),
+            "resumed": self.resume_count,
         }
-        body = json.dumps(told).encode()
+        body = json.dumps(state).encode()
         return b"%08x\n" % crc32(body) + body
 
     @classmethod
     def load(cls, data: bytes, trace: str) -> Account:
+        """Restores a checkpoint of the trace with this digest ("" accepts any trace).
+
+        Raises `UnusableCheckpoint`.
+        """
         try:
             head, _, body = data.partition(b"\n")
             if int(head, 16) != crc32(body):
-                raise Unusable("its checksum does not hold")
-            told: dict[str, Any] = json.loads(body)
-            if told["form"] != FORM:
-                raise Unusable(f"it has the form {told['form']}")
-            if trace and told["trace"] != trace:
+                raise Unusable("its checksum does not match")
+            state: dict[str, Any] = json.loads(body)
+            if state["form"] != FORMAT_VERSION:
+                raise Unusable(f"it has the unknown format version {state['form']}")
+            if trace and state["trace"] != trace:
                 raise Unusable("it belongs to another trace")
-            account = cls(told["trace"], told["low"])
-            account.beyond = set(told["beyond"])
-            account.resumed = told["resumed"] + 1
-            account.lateness = HdrHistogram.decode(told["lateness"])
-            for name, one in told["services"].items():
-                account.services[name] = Service(Counter(one["outcomes"]), one["tries"],
+            account = cls(state["trace"], state["low"])
+            account.ended_ahead = set(state["beyond"])
+            account.resume_count = state["resumed"] + 1
+            account.send_delays = HdrHistogram.decode(state["lateness"])
+            for name, one in state["services"].items():
+                account.services[name] = ServiceCounts(Counter(one["outcomes"]), one["tries"],
                                                  HdrHistogram.decode(one["from_intended"]),
                                                  HdrHistogram.decode(one["from_sent"]))  # fmt: skip
         except (KeyError, TypeError, ValueError, IndexError) as fault:
-            raise Unusable(f"it can't be read: {fault}") from fault
+            raise Unusable(f"it can't be decoded: {fault}") from fault
         return account
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
+        """Returns the results as plain data, for JSON."""
         return {
             "gets": self.count,
-            "resumed": self.resumed,
+            "resumed": self.resume_count,
             "services": {
                 name: {
                     "outcomes": dict(sorted(one.outcomes.items())),
@@ -132,16 +156,18 @@
                 }
                 for name, one in sorted(self.services.items())
             },
-            "own_lateness_ms": percentiles(self.lateness),
+            "own_lateness_ms": percentiles(self.send_delays),
         }
 
 
-def micros(seconds: float) -> int:
-    return min(MOST_US - 1, max(1, int(seconds * 1e6)))
+def to_micros(seconds: float) -> int:
+    """Converts to microseconds within the range of the histograms."""
+    return min(MAX_LATENCY_US - 1, max(1, int(seconds * 1e6)))
 
 
 def percentiles(histogram: HdrHistogram) -> dict[str, float]:
+    """Returns percentiles and the maximum in milliseconds."""
     if not histogram.get_total_count():
         return {}
-    found = {f"p{share:g}": histogram.get_value_at_percentile(share) / 1000 for share in (50, 90, 99, 99.9)}
-    return {**found, "max": histogram.get_max_value() / 1000}
+    result = {f"p{share:g}": histogram.get_value_at_percentile(share) / 1000 for share in (50, 90, 99, 99.9)}
+    return {**result, "max": histogram.get_max_value() / 1000}
--- a/damsonstream/replay/play.py
+++ b/damsonstream/replay/play.py
@@ -1,8 +1,7 @@
-"""A replay as it is ordered: against gateways that run, or against a fleet between stand-ins that is started
-for it.
+"""Runs a replay, either against running gateways or against a fleet between stand-ins started for it.
 
-How it is called: `against(order, addresses)` and `with_fleet(order, gateways, folder)` run to the end and
-return plain data.
+Usage: `replay_to_gateways(options, addresses)` and `replay_with_fleet(options, gateways, folder)` run to the
+end and return plain data.
 """
 
 from __future__ import annotations
@@ -19,68 +18,69 @@
 from damsonstream.demo.play import Play
 from damsonstream.demo.scenario import Scenario, Step, load
 from damsonstream.replay.account import Account
-from damsonstream.replay.limits import Rule
-from damsonstream.replay.run import Replay, Wish, resumed, wishes
+from damsonstream.replay.limits import ReplayRule
+from damsonstream.replay.run import Replay, TraceGet, load_account, wishes
 from damsonstream.standins.traffic import Key
 from damsonstream.traces.native import Native
 from damsonstream.traces.shape import Scaling
 
-END = 30.0  # seconds after the last GET, for what is still open
+TAIL = 30.0  # seconds after the last GET, for GETs that are still open
 
 
 @dataclass(slots=True)
 class Order:
-    """What is wanted of a replay."""
+    """Options of a replay. The command line sets the fields by name."""
 
     trace: Native
     seed: int = 1
     speed: float = 1.0
-    stop_after: float | None = None
-    skip: int = 0
-    patience: float = 3.0
-    most_open: int = 2000
-    slow_vault: float | None = None
-    script: Path | None = None  # a demo scenario, whose steps and clocks are played too
+    stop_after: float | None = None  # seconds
+    skip: int = 0  # GETs at the start of the trace that are left out
+    patience: float = 3.0  # viewer timeout, seconds
+    most_open: int = 2000  # limit of open GETs
+    slow_vault: float | None = None  # ms by which the origin is slow in the middle third
+    script: Path | None = None  # a demo scenario, whose steps and clocks apply too
     records: Path | None = None
     checkpoint: Path | None = None
 
-    def account(self) -> Account:
-        account = resumed(self.checkpoint, str(self.trace.about.get("digest", "")))
-        if not account.resumed:
-            account.low = self.skip
+    def load_account(self) -> Account:
+        account = load_account(self.checkpoint, str(self.trace.about.get("digest", "")))
+        if not account.resume_count:
+            account.first_open = self.skip
         return account
 
-    def wishes(self, account: Account) -> Iterator[Wish]:
-        """From the first GET that the account lacks."""
+    def remaining_gets(self, account: Account) -> Iterator[TraceGet]:
+        """Yields the GETs from the first one that has not ended."""
         scaling = Scaling(self.speed)
-        first = max(self.skip, account.low)
+        first = max(self.skip, account.first_open)
         batches = (scaling.apply(gets) for gets in self.trace.batches(skip=first))
         return wishes(batches, "pages", "unlock", first)
 
-    def replay(self, addresses: dict[str, tuple[str, int]]) -> Replay:
-        account = self.account()
-        rule = Rule(self.patience, self.most_open)
-        return Replay(self.wishes(account), addresses, rule, self.seed, account, self.checkpoint)
+    def make_replay(self, addresses: dict[str, tuple[str, int]]) -> Replay:
+        account = self.load_account()
+        rule = ReplayRule(self.patience, self.most_open)
+        return Replay(self.remaining_gets(account), addresses, rule, self.seed, account, self.checkpoint)
 
 
-def told(replay: Replay, order: Order) -> dict[str, Any]:
+def summary(replay: Replay, options: Order) -> dict[str, Any]:
+    """Returns the results of a replay as plain data, for JSON."""
     limits = replay.limits
     return {
-        **replay.account.told(),
-        "left": order.trace.rows - replay.account.low - len(replay.account.beyond),
-        "stalls": [{"at": round(s.at, 3), "lasted": round(s.lasted, 3)} for s in limits.stalls],
-        "stalled_s": round(limits.stalled, 3),
-        "further_tries_refused_by_budget": limits.refused,
+        **replay.account.summary(),
+        "left": options.trace.rows - replay.account.first_open - len(replay.account.ended_ahead),
+        "stalls": [{"at": round(s.start, 3), "lasted": round(s.duration, 3)} for s in limits.stalls],
+        "stalled_s": round(limits.stalled_s, 3),
+        "further_tries_refused_by_budget": limits.refused_retries,
         "faults": replay.faults[:20],
     }
 
 
-async def watch(replay: Replay, order: Order) -> None:
-    """Signals and the time that it may take."""
+async def handle_signals(replay: Replay, options: Order) -> None:
+    """Pauses, resumes or stops the replay on signals, and stops it after `stop_after` seconds."""
     with anyio.open_signal_receiver(signal.SIGUSR2, signal.SIGINT, signal.SIGTERM) as received:
         async with anyio.create_task_group() as group:
-            if order.stop_after is not None:
-                group.start_soon(stop_after, replay, order.stop_after)
+            if options.stop_after is not None:
+                group.start_soon(stop_after, replay, options.stop_after)
             async for number in received:
                 if number == signal.SIGUSR2:
                     replay.paused = not replay.paused
@@ -93,63 +93,71 @@
     replay.stop()
 
 
-async def to_the_end(replay: Replay, order: Order) -> None:
+async def run_to_end(replay: Replay, options: Order) -> None:
     async with anyio.create_task_group() as group:
-        group.start_soon(watch, replay, order)
+        group.start_soon(handle_signals, replay, options)
         await replay.run()
         group.cancel_scope.cancel()
 
 
-def against(order: Order, addresses: dict[str, tuple[str, int]]) -> dict[str, Any]:
-    replay = order.replay(addresses)
+def against(options: Order, addresses: dict[str, tuple[str, int]]) -> dict[str, Any]:
+    """Replays against gateways that are already running."""
+    replay = options.make_replay(addresses)
 
     async def run() -> None:
-        await to_the_end(replay, order)
+        await run_to_end(replay, options)
 
     anyio.run(run, backend_options={"use_uvloop": True})
-    return told(replay, order)
+    return summary(replay, options)
 
 
-class Fleet(Play):
-    """A play whose viewers are a trace's."""
+class FleetReplay(Play):
+    """A run of the demo fleet in which the GETs come from a trace."""
 
-    def __init__(self, scenario: Scenario, folder: Path, records: Path, order: Order) -> None:
-        super().__init__(scenario, folder, records, order.seed)
-        self.ordered = order
-        self.replay = self.front = order.replay(self.fleet.addresses)
+    def __init__(self, scenario: Scenario, folder: Path, records: Path, options: Order) -> None:
+        super().__init__(scenario, folder, records, options.seed)
+        self.replay_options = options
+        self.replay = self.front = options.make_replay(self.fleet.addresses)
         self.world.describe = self.describe
 
     def describe(self, key: Key) -> tuple[int, int]:
-        """Objects have the trace's sizes, up to what the caches' protocol bears."""
-        size = self.replay.sizes.get(key[1], 1000)
+        """Returns the group of an object, and its size in the trace up to the limit of the cache protocol."""
+        size = self.replay.object_sizes.get(key[1], 1000)
         return int(key[1], 16) % 64, max(1, min(size, 230_000))
 
     async def viewers(self) -> None:
-        await to_the_end(self.replay, self.ordered)
+        await run_to_end(self.replay, self.replay_options)
 
 
-def with_fleet(order: Order, gateways: int, folder: Path) -> dict[str, Any]:
-    most = max(offer.patience_ms for offer in OFFERS) / 1000
-    if order.patience > most:
-        raise RuntimeError(f"the fleet's viewers wait {most:g} s at the most, not {order.patience:g}")
-    spans = order.trace.spans()
-    long = max(4.0, (spans[-1][2] if spans else 0) / 1e6 / order.speed)
+def with_fleet(options: Order, gateways: int, folder: Path) -> dict[str, Any]:
+    """Starts gateways between stand-ins and replays against them."""
+    max_timeout = max(offer.patience_ms for offer in OFFERS) / 1000
+    if options.patience > max_timeout:
+        raise RuntimeError(f"the fleet's viewers wait at most {max_timeout:g} s, not {options.patience:g}")
+    spans = options.trace.row_group_spans()
+    duration = max(4.0, (spans[-1][2] if spans else 0) / 1e6 / options.speed)
     steps: tuple[Step, ...] = ()
-    if order.slow_vault:
-        steps = (Step(long / 3, "slow", "vault", long / 3, order.slow_vault),)
-    scenario = Scenario("replay", "a trace, replayed", long + END, 0, gateways, 3, 2, steps, ())
-    if order.script is not None:
-        told_by = load(str(order.script))
-        if told_by.gateways != gateways:
-            raise RuntimeError(f"{order.script} is for {told_by.gateways} gateways, not {gateways}")
-        scenario = replace(told_by, name="replay", lasts=long + END, rate=0, steps=(*told_by.steps, *steps))
-    records = order.records or folder / "records"
+    if options.slow_vault:
+        steps = (Step(duration / 3, "slow", "vault", duration / 3, options.slow_vault),)
+    scenario = Scenario("replay", "a trace, replayed", duration + TAIL, 0, gateways, 3, 2, steps, ())
+    if options.script is not None:
+        script = load(str(options.script))
+        if script.gateways != gateways:
+            raise RuntimeError(f"{options.script} is for {script.gateways} gateways, not {gateways}")
+        scenario = replace(
+            script, name="replay", lasts=duration + TAIL, rate=0, steps=(*script.steps, *steps)
+        )
+    records = options.records or folder / "records"
     folder.mkdir(parents=True, exist_ok=True)
     records.mkdir(parents=True, exist_ok=True)
-    fleet = Fleet(scenario, folder, records, order)
+    fleet = FleetReplay(scenario, folder, records, options)
 
     async def run() -> None:
         await fleet.run(lambda _: None)
 
     anyio.run(run, backend_options={"use_uvloop": True})
-    return {**told(fleet.replay, order), "records": str(records), "stand_ins_saw": fleet.truth.faults[:20]}
+    return {
+        **summary(fleet.replay, options),
+        "records": str(records),
+        "stand_ins_saw": fleet.truth.faults[:20],
+    }
--- a/damsonstream/replay/run.py
+++ b/damsonstream/replay/run.py
@@ -1,8 +1,8 @@
 """Replays a trace against gateways, over FastCGI, at the recorded times.
 
-How it is called: `Replay(gets, addresses, rule, ...)`; `await replay.run()` returns when all GETs have ended,
-or at `stop()`. `account` tells then. Open loop: a GET goes out when the trace has it, whatever became of the
-ones before. Decisions: `limits.py`; the account: `account.py`.
+Usage: `Replay(gets, addresses, rule, ...)`; `await replay.run()` returns when all GETs have ended, or after
+`stop()`; then `account` has the results. The load is open loop: each GET is sent at its time in the trace,
+whether or not earlier ones have ended. `limits.py` makes the decisions, `account.py` counts the outcomes.
 """
 
 from __future__ import annotations
@@ -19,78 +19,88 @@
 import numpy as np
 
 from damsonstream.replay.account import Account, Unusable
-from damsonstream.replay.limits import Limits, Rule
+from damsonstream.replay.limits import Limits, ReplayRule
 from damsonstream.standins.clients import CONNECTIONS, STREAMS, Front, GatewayLink, Open
 from damsonstream.standins.traffic import Arrival, Catalogue, Offer
-from damsonstream.traces.gets import WRITE, mixed
+from damsonstream.traces.gets import WRITE, mix64
 
-US = 1_000_000
-LOCK = threading.Lock()  # checkpoints are written one after the other
-STEP = 0.005  # seconds between looks at what is due: lateness by the loop's own doing stays under it
-SAVE = 1.0  # seconds between checkpoints: what a kill makes it play once more
+US_PER_S = 1_000_000
+CHECKPOINT_LOCK = threading.Lock()  # serializes the writing of checkpoints
+POLL_INTERVAL = 0.005  # seconds; an upper bound for the delay that the loop itself adds to a GET
+CHECKPOINT_INTERVAL = 1.0  # seconds; after a kill this much is replayed again
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
+class TraceGet:
     """A GET of the trace."""
 
-    place: int
-    at: float  # seconds since the trace's start
+    index: int
+    at: float  # seconds since the start of the trace
     client: int
     service: str
-    thing: str
+    object_id: str
     tokened: bool
     size: int
 
 
-def wishes(batches: Iterable[np.ndarray], read: str, write: str, first: int = 0) -> Iterator[Wish]:
-    place = first
+def wishes(batches: Iterable[np.ndarray], read: str, write: str, first: int = 0) -> Iterator[TraceGet]:
+    """Yields the GETs of a trace. `read`, `write`: delivery services; `first`: index of the first GET."""
+    index = first
     for gets in batches:
-        for time_, thing, client, kind, size in zip(
+        for time_, object_id, client, kind, size in zip(
             gets["time"].tolist(), gets["object"].tolist(), gets["client"].tolist(), gets["kind"].tolist(),
             gets["size"].tolist(), strict=True,
         ):  # fmt: skip
-            writes = kind == WRITE
-            yield Wish(place, time_ / US, client, write if writes else read, f"{thing:016x}", writes, size)
-            place += 1
+            is_write = kind == WRITE
+            yield TraceGet(
+                index,
+                time_ / US_PER_S,
+                client,
+                write if is_write else read,
+                f"{object_id:016x}",
+                is_write,
+                size,
+            )
+            index += 1
 
 
 class Replay(Front):
-    """The front's web servers, which bring a trace's GETs."""
+    """The client side of a replay: web servers that send the GETs of a trace to gateways."""
 
     def __init__(
         self,
-        gets: Iterator[Wish],
+        gets: Iterator[TraceGet],
         addresses: dict[str, tuple[str, int]],
-        rule: Rule,
+        rule: ReplayRule,
         seed: int,
         account: Account,
         checkpoint: Path | None = None,
     ) -> None:
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         super().__init__(addresses, Catalogue((), seed), self.clock, seed)
         self.gets, self.account, self.checkpoint = gets, account, checkpoint
         self.limits = Limits.of(rule, addresses, seed)
         self.offers: dict[str, Offer] = {}
         self.stopped, self.paused = False, False
-        self.offset = 0.0  # the trace's time at the replay's start
-        self.saved = 0.0
-        self.sizes: dict[str, int] = {}  # of the latest objects, for stand-ins; bounded
+        self.trace_offset = 0.0  # time in the trace when the replay's clock is 0
+        self.saved_at = 0.0
+        self.object_sizes: dict[str, int] = {}  # of the latest objects, for the stand-ins; bounded
 
     def clock(self) -> float:
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
     def stop(self) -> None:
-        """Sends nothing new; what is open ends."""
+        """Sends no further GETs; open ones continue to their end."""
         self.stopped = True
 
-    def offer(self, wish: Wish) -> Offer:
-        if wish.service not in self.offers:
-            patience = int(self.limits.rule.patience * 1000)
-            self.offers[wish.service] = Offer(wish.service, 0, 0, 0, 0, patience, wish.tokened)
-        return self.offers[wish.service]
+    def offer_for(self, get: TraceGet) -> Offer:
+        if get.service not in self.offers:
+            timeout_ms = int(self.limits.rule.viewer_timeout * 1000)
+            self.offers[get.service] = Offer(get.service, 0, 0, 0, 0, timeout_ms, get.tokened)
+        return self.offers[get.service]
 
     async def run(self) -> None:
+        """Connects to the gateways, sends all GETs and waits for their ends."""
         async with anyio.create_task_group() as group:
             self.group = group
             for name in self.addresses:
@@ -98,111 +108,114 @@
             with anyio.move_on_after(5):
                 while not any(self.links.values()):
                     await anyio.sleep(0.01)
-            self.began = time.monotonic()
-            await self.feed()
+            self.started_at = time.monotonic()
+            await self.replay_all()
             while self.open:
-                await anyio.sleep(STEP)
-                self.save()
-            self.save(force=True)
+                await anyio.sleep(POLL_INTERVAL)
+                self.save_checkpoint()
+            self.save_checkpoint(force=True)
             self.close()
             group.cancel_scope.cancel()
 
-    async def feed(self) -> None:
-        """Each GET at its time; a pause moves all that follows."""
+    async def replay_all(self) -> None:
+        """Sends each GET at its time; a pause postpones all GETs after it."""
         assert self.group is not None
         first = True
-        for wish in self.gets:
-            if self.account.done(wish.place):
+        for get in self.gets:
+            if self.account.has_ended(get.index):
                 continue
             if first:
-                self.offset, first = wish.at - self.clock(), False
+                self.trace_offset, first = get.at - self.clock(), False
             while True:
                 now = self.clock()
                 if self.stopped:
                     return
                 if self.paused:
-                    before = now
-                    await anyio.sleep(STEP)
-                    self.offset -= self.clock() - before
-                    self.limits.ticked = -1.0
+                    paused_at = now
+                    await anyio.sleep(POLL_INTERVAL)
+                    self.trace_offset -= self.clock() - paused_at
+                    self.limits.next_tick_due = -1.0
                     continue
-                wait = wish.at - self.offset - now
-                told = "wait" if wait > 0 else self.limits.send(now, wish.at - self.offset)
-                if told != "wait":
+                wait = get.at - self.trace_offset - now
+                decision = "wait" if wait > 0 else self.limits.admit(now, get.at - self.trace_offset)
+                if decision != "wait":
                     break
-                sleeps = min(STEP, max(0.0005, wait)) if wait > 0 else STEP
-                self.limits.tick(now, sleeps)
-                self.save()
-                await anyio.sleep(sleeps)
-            intended = wish.at - self.offset
-            self.limits.earn()
-            if told == "overdue":
-                self.account.enter(wish.place, wish.service, "overdue", 0, 0.0, 0.0, 0.0)
+                sleep = min(POLL_INTERVAL, max(0.0005, wait)) if wait > 0 else POLL_INTERVAL
+                self.limits.tick(now, sleep)
+                self.save_checkpoint()
+                await anyio.sleep(sleep)
+            intended = get.at - self.trace_offset
+            self.limits.earn_tokens()
+            if decision == "overdue":
+                self.account.record(get.index, get.service, "overdue", 0, 0.0, 0.0, 0.0)
                 continue
             self.limits.tick(self.clock(), 0.0)
             self.open += 1
-            self.group.start_soon(self.live, wish, intended)
-
-    async def live(self, wish: Wish, intended: float) -> None:
-        """One wish, from its first try to its one outcome."""
-        offer, tries, late, sent, outcome = self.offer(wish), 0, 0.0, 0.0, "no-gateway"
-        thing = wish.thing
-        self.sizes[thing] = wish.size
-        if len(self.sizes) > 200_000:
-            del self.sizes[next(iter(self.sizes))]
-        token = f"{int(mixed(np.array([wish.place], np.uint64), 77)[0]):032x}" if wish.tokened else ""
-        arrival = Arrival(wish.at, wish.client, offer, thing, 0, token)
-        until = intended + self.limits.rule.patience
+            self.group.start_soon(self.replay_get, get, intended)
+
+    async def replay_get(self, get: TraceGet, intended: float) -> None:
+        """Sends one GET, with retries, until it has an outcome."""
+        offer, tries, send_delay, sent, outcome = self.offer_for(get), 0, 0.0, 0.0, "no-gateway"
+        object_id = get.object_id
+        self.object_sizes[object_id] = get.size
+        if len(self.object_sizes) > 200_000:
+            del self.object_sizes[next(iter(self.object_sizes))]
+        token = f"{int(mix64(np.array([get.index], np.uint64), 77)[0]):032x}" if get.tokened else ""
+        arrival = Arrival(get.at, get.client, offer, object_id, 0, token)
+        deadline = intended + self.limits.rule.viewer_timeout
         try:
-            while (left := until - self.clock()) > 0:
-                link = self.reach(wish.client)
+            while (time_left := deadline - self.clock()) > 0:
+                link = self.client_connection(get.client)
                 if link is None:
                     if not tries:
                         outcome = "no-room" if any(self.links.values()) else "no-gateway"
-                    await anyio.sleep(min(left, STEP * 4))
+                    await anyio.sleep(min(time_left, POLL_INTERVAL * 4))
                     continue
                 now = sent = self.clock()
-                late = late if tries else now - intended
+                send_delay = send_delay if tries else now - intended
                 self.limits.sent(link.name)
-                waiting = self.send(link, arrival, tries, left)
+                waiting = self.send(link, arrival, tries, time_left)
                 tries += 1
-                with anyio.move_on_after(left) as scope:
+                with anyio.move_on_after(time_left) as scope:
                     await waiting.done
                 self.limits.ended(link.name)
-                # its future is cancelled with the wait for it: whether it ended is told by the outcome
+                # the timeout cancels the future too, so only the outcome shows whether the try has ended
                 if scope.cancelled_caught and not waiting.one.outcome:
                     self.give_up(link, waiting)
                 outcome = waiting.one.outcome
-                again = self.limits.again(
-                    self.clock(), intended, tries, outcome, waiting.come_back_ms / 1000, wish.tokened
+                retry = self.limits.decide_retry(
+                    self.clock(), intended, tries, outcome, waiting.come_back_ms / 1000, get.tokened
                 )
-                if again.why:
+                if retry.give_up_reason:
                     break
-                await anyio.sleep(again.after)
+                await anyio.sleep(retry.delay)
         finally:
             self.open -= 1
             now = self.clock()
             if not self.closing:
-                self.account.enter(wish.place, wish.service, outcome, tries, late, now - intended, now - sent)
+                self.account.record(
+                    get.index, get.service, outcome, tries, send_delay, now - intended, now - sent
+                )
 
-    def reach(self, client: int) -> GatewayLink | None:
-        name = self.limits.pick(client, self.clock())
+    def client_connection(self, client: int) -> GatewayLink | None:
+        """Returns the least loaded connection to the client's gateway, or None if there is no free stream."""
+        name = self.limits.pick_gateway(client, self.clock())
         links = [link for link in self.links.get(name or "", ()) if not link.reason]
         link = min(links, key=lambda link: len(link.open), default=None)
         return link if link is not None and len(link.open) < STREAMS else None
 
     def send(self, link: GatewayLink, arrival: Arrival, further: int, left: float) -> Open:
         waiting = super().send(link, arrival, further, left)
-        self.tries.clear()  # the account is kept elsewhere: a trace may have billions
+        self.tries.clear()  # a trace may have billions of GETs, and `account` counts them already
         return waiting
 
     async def keep(self, name: str) -> None:
-        """Keeps the connections to one gateway; one that refuses is down until it takes one again."""
+        """Keeps the connections to one gateway open. A gateway is down from a refusal to the next success."""
         host, port = self.addresses[name]
         loop = asyncio.get_running_loop()
         while not self.closing:
             gateway = self.limits.gateways[name]
-            if len(self.links[name]) >= CONNECTIONS or (gateway.downs and self.clock() < gateway.look_at):
+            if len(self.links[name]) >= CONNECTIONS or (gateway.failures and self.clock() < gateway.retry_at):
                 await anyio.sleep(0.02)
                 continue
             link = GatewayLink(self, name)
@@ -210,37 +223,38 @@
                 with anyio.fail_after(1.0):
                     await loop.create_connection(lambda link=link: link, host, port)  # type: ignore[misc]
             except (OSError, TimeoutError):
-                self.limits.down(name, self.clock())
+                self.limits.mark_down(name, self.clock())
                 continue
-            self.limits.up(name)
+            self.limits.mark_up(name)
             self.links[name].append(link)
 
     def parted(self, link: GatewayLink) -> None:
         super().parted(link)
         if not self.links[link.name] and not self.closing:
-            self.limits.down(link.name, self.clock())
+            self.limits.mark_down(link.name, self.clock())
 
-    def save(self, force: bool = False) -> None:
-        if self.checkpoint is not None and (force or self.clock() - self.saved >= SAVE):
-            self.saved, told = self.clock(), self.account.dump()
+    def save_checkpoint(self, force: bool = False) -> None:
+        """Writes the checkpoint if the last one is old enough, or immediately with `force`."""
+        if self.checkpoint is not None and (force or self.clock() - self.saved_at >= CHECKPOINT_INTERVAL):
+            self.saved_at, state = self.clock(), self.account.dump()
             if force:
-                put(self.checkpoint, told)
-            else:  # a disk that takes its time is no reason to send late
-                asyncio.get_running_loop().run_in_executor(None, put, self.checkpoint, told)
+                write_atomically(self.checkpoint, state)
+            else:  # in a thread, so that a slow disk does not delay GETs
+                asyncio.get_running_loop().run_in_executor(None, write_atomically, self.checkpoint, state)
 
 
-def put(path: Path, data: bytes) -> None:
-    """The whole file or the one before it."""
-    beside = path.with_name(f".{path.name}.{os.getpid()}")
-    with LOCK, beside.open("wb") as stream:
+def write_atomically(path: Path, data: bytes) -> None:
+    """Replaces a file atomically."""
+    temp_path = path.with_name(f".{path.name}.{os.getpid()}")
+    with CHECKPOINT_LOCK, temp_path.open("wb") as stream:
         stream.write(data)
         stream.flush()
         os.fsync(stream.fileno())
-        os.replace(beside, path)
+        os.replace(temp_path, path)
 
 
-def resumed(path: Path | None, trace: str) -> Account:
-    """The account of a checkpoint, where there is one."""
+def load_account(path: Path | None, trace: str) -> Account:
+    """Returns the account of a checkpoint, or a new one if the file does not exist."""
     if path is None or not path.exists():
         return Account(trace)
     try:
--- a/damsonstream/traces/digest.py
+++ b/damsonstream/traces/digest.py
@@ -1,9 +1,9 @@
-"""A digest of GETs in their order, the same however they were batched, and whatever the order among equal
-times. No I/O.
+"""Digest of a sequence of GETs, independent of batch boundaries and of the order of GETs with equal times.
+No I/O.
 
-How it is called: `Digest().add(gets)` in order, then `hex()`. GETs at one time enter as a sum of their own
-hashes, so that shards of one file that are merged by time have the digest of the whole file: which of two
-equal times came first is lost by splitting.
+Usage: call `Digest().add(gets)` with batches in time order, then `hex()`. GETs with the same time are
+combined as a sum of their hashes. Splitting a file into shards loses the order of GETs with equal times;
+because of the sum, shards merged by time still have the digest of the whole file.
 """
 
 from __future__ import annotations
@@ -12,41 +12,49 @@
 
 import numpy as np
 
-from damsonstream.traces.gets import mixed
+from damsonstream.traces.gets import mix64
 
-GROUP = np.dtype([("time", "<i8"), ("count", "<u8"), ("one", "<u8"), ("other", "<u8")])
+TIME_GROUP = np.dtype([("time", "<i8"), ("count", "<u8"), ("one", "<u8"), ("other", "<u8")])
 
 
 class Digest:
+    """Incremental digest over batches of GETs."""
+
     def __init__(self) -> None:
-        self.state = blake2b(digest_size=16)
-        self.open = np.zeros(0, GROUP)  # GETs of the latest time: more of it may come
+        self.hash_state = blake2b(digest_size=16)
+        self.last_group = np.zeros(
+            0, TIME_GROUP
+        )  # GETs of the latest time; the next batch may have more of them
         self.count = 0
 
     def add(self, gets: np.ndarray) -> None:
         if not len(gets):
             return
         self.count += len(gets)
-        one = mixed(gets["object"], 11)
+        first_hash = mix64(gets["object"], 11)
         for field in ("client", "size", "tenant", "group", "kind", "flags"):
-            one = mixed(one ^ gets[field].astype(np.uint64), 12)
-        other = mixed(one, 13)
+            first_hash = mix64(first_hash ^ gets[field].astype(np.uint64), 12)
+        second_hash = mix64(first_hash, 13)
         times = gets["time"]
         starts = np.concatenate(([0], np.flatnonzero(np.diff(times)) + 1))
-        groups = np.zeros(len(starts), GROUP)
+        groups = np.zeros(len(starts), TIME_GROUP)
         groups["time"] = times[starts]
         groups["count"] = np.diff(np.concatenate((starts, [len(gets)])))
         with np.errstate(over="ignore"):
-            groups["one"], groups["other"] = np.add.reduceat(one, starts), np.add.reduceat(other, starts)
-            if len(self.open) and self.open["time"][0] == groups["time"][0]:
+            groups["one"], groups["other"] = (
+                np.add.reduceat(first_hash, starts),
+                np.add.reduceat(second_hash, starts),
+            )
+            if len(self.last_group) and self.last_group["time"][0] == groups["time"][0]:
                 for field in ("count", "one", "other"):
-                    groups[field][0] += self.open[field][0]
-            elif len(self.open):
-                self.state.update(self.open.tobytes())
-        self.state.update(groups[:-1].tobytes())
-        self.open = groups[-1:].copy()
+                    groups[field][0] += self.last_group[field][0]
+            elif len(self.last_group):
+                self.hash_state.update(self.last_group.tobytes())
+        self.hash_state.update(groups[:-1].tobytes())
+        self.last_group = groups[-1:].copy()
 
     def hex(self) -> str:
-        whole = self.state.copy()
-        whole.update(self.open.tobytes())
-        return whole.hexdigest()
+        """Returns the digest of all GETs added so far, in hexadecimal."""
+        final = self.hash_state.copy()
+        final.update(self.last_group.tobytes())
+        return final.hexdigest()
--- a/damsonstream/traces/guard.py
+++ b/damsonstream/traces/guard.py
@@ -1,92 +1,99 @@
-"""Makes the bytes of any file safe for a CSV parser: one line in, one line out. No I/O.
+"""Makes the bytes of any file safe for a CSV parser, with one line of output for each line of input. No I/O.
 
-How it is called: `Guard(delimiter).feed(block)` returns whole lines; `end()` the last one. What can't be
-given to a parser is given as an empty line instead, and its number and reason stand in `bad`, so that line
-numbers always hold.
+Usage: `LineSanitizer().feed(block)` returns complete lines, `finish()` the last one. A line that is unsafe
+for a parser is replaced by an empty line, so that line numbers stay correct; its number and the reason are
+appended to `rejected`.
 
-Guards against what a file made to harm, or cut off, brings: a line without end, a quote that opens and never
-closes (a parser would read on to the end of the file), carriage returns inside lines, bytes of zero.
+Protects against malicious and truncated files: lines of unbounded length, an opening quote without a closing
+one (a parser would read on to the end of the file) and carriage returns inside lines. NUL bytes are found
+later, in rows.py.
 """
 
 from __future__ import annotations
 
 import numpy as np
 
-MOST_LINE = 64 << 10  # bytes: the longest published rows are some KB; a longer one is no row
-NEWLINE, RETURN, QUOTE = 10, 13, 34
+MAX_LINE = 64 << 10  # bytes; the longest rows in published traces have a few KB
+NEWLINE, CARRIAGE_RETURN, QUOTE = 10, 13, 34
 
 
-class Guard:
-    def __init__(self, most: int = MOST_LINE) -> None:
-        self.most = most
-        self.rest = b""  # less than one line; bounded by `most`
-        self.skipping = False  # in the middle of a line that is too long
-        self.line = 0  # of the last line that was returned, from 1
-        self.bad: list[tuple[int, str, bytes]] = []  # line, reason, how it begins; taken by the caller
-        self.cut = False  # whether the file ended without an end of line
+class LineSanitizer:
+    """Splits a stream of bytes into complete lines and blanks out unsafe ones."""
+
+    def __init__(self, max_line: int = MAX_LINE) -> None:
+        self.max_line = max_line
+        self.partial_line = b""  # the start of an incomplete line; bounded by `max_line`
+        self.in_long_line = False  # inside a line that is too long, of which the rest is dropped
+        self.last_line = 0  # number of the last line that was returned, from 1
+        self.rejected: list[
+            tuple[int, str, bytes]
+        ] = []  # line, reason, start of the line; the caller removes them
+        self.unterminated = False  # whether the file ended without a newline
 
     def feed(self, block: bytes) -> bytes:
-        data = self.rest + block
+        """Returns the complete lines that `block` ends, sanitized."""
+        data = self.partial_line + block
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
-            if data.endswith(b"\r"):  # its newline may come with the next block
-                self.rest, data = b"\r", data[:-1]
-                held = b"\r"
+            if data.endswith(b"\r"):  # its newline may be the first byte of the next block
+                self.partial_line, data = b"\r", data[:-1]
+                trailing_cr = b"\r"
             else:
-                held = b""
+                trailing_cr = b""
             data = data.replace(b"\r", b" ")
         else:
-            held = b""
+            trailing_cr = b""
         end = data.rfind(b"\n") + 1
-        whole, self.rest = data[:end], data[end:] + held
-        if self.skipping:
-            if not whole:
-                self.rest = held
+        complete, self.partial_line = data[:end], data[end:] + trailing_cr
+        if self.in_long_line:
+            if not complete:
+                self.partial_line = trailing_cr
                 return b""
-            cut = whole.find(b"\n")
-            whole, self.skipping = whole[cut:], False  # its empty line was begun when it was given up
-        if len(self.rest) > self.most:
-            self.give_up(whole.count(b"\n") + 1, self.rest)
-            self.rest = held
-            self.skipping = True
-        return self.lines(whole)
+            line_end = complete.find(b"\n")
+            # the newline of the long line is kept: it is the empty line that replaces it
+            complete, self.in_long_line = complete[line_end:], False
+        if len(self.partial_line) > self.max_line:
+            self.reject(complete.count(b"\n") + 1, self.partial_line)
+            self.partial_line = trailing_cr
+            self.in_long_line = True
+        return self.sanitize(complete)
 
-    def end(self) -> bytes:
-        """What is left at the end of the file."""
-        rest, self.rest = self.rest.rstrip(b"\r"), b""
-        if self.skipping:
-            self.skipping = False
-            return self.lines(b"\n")
-        if not rest:
+    def finish(self) -> bytes:
+        """Returns the last line at the end of the file, if it has no newline."""
+        tail, self.partial_line = self.partial_line.rstrip(b"\r"), b""
+        if self.in_long_line:
+            self.in_long_line = False
+            return self.sanitize(b"\n")
+        if not tail:
             return b""
-        self.cut = True
-        return self.lines(rest + b"\n")
+        self.unterminated = True
+        return self.sanitize(tail + b"\n")
 
-    def give_up(self, ahead: int, line: bytes, reason: str = "too-long") -> None:
-        self.bad.append((self.line + ahead, reason, line[:80]))
+    def reject(self, offset: int, line: bytes, reason: str = "too-long") -> None:
+        self.rejected.append((self.last_line + offset, reason, line[:80]))
 
-    def lines(self, whole: bytes) -> bytes:
-        if not whole:
+    def sanitize(self, complete: bytes) -> bytes:
+        if not complete:
             return b""
-        array = np.frombuffer(whole, np.uint8)
+        array = np.frombuffer(complete, np.uint8)
         ends = np.flatnonzero(array == NEWLINE)
         starts = np.concatenate(([0], ends[:-1] + 1))
-        wrong = np.zeros(len(ends), bool)
-        long = ends - starts > self.most
-        odd = np.zeros(len(ends), bool)
-        if b'"' in whole:
+        rejected = np.zeros(len(ends), bool)
+        too_long = ends - starts > self.max_line
+        unbalanced = np.zeros(len(ends), bool)
+        if b'"' in complete:
             quotes = np.flatnonzero(array == QUOTE)
-            odd = np.bincount(np.searchsorted(ends, quotes), minlength=len(ends)) % 2 == 1
-        wrong = long | odd
-        if wrong.any():
-            kept, at = [], 0
-            for place in np.flatnonzero(wrong):
-                start, end = int(starts[place]), int(ends[place])
-                reason = "too-long" if long[place] else "open-quote"
-                self.give_up(int(place) + 1, whole[start:end], reason)
-                kept.append(whole[at:start])
-                at = end
-            kept.append(whole[at:])
-            whole = b"".join(kept)
-        self.line += len(ends)
-        return whole
+            unbalanced = np.bincount(np.searchsorted(ends, quotes), minlength=len(ends)) % 2 == 1
+        rejected = too_long | unbalanced
+        if rejected.any():
+            kept, position = [], 0
+            for index in np.flatnonzero(rejected):
+                start, end = int(starts[index]), int(ends[index])
+                reason = "too-long" if too_long[index] else "open-quote"
+                self.reject(int(index) + 1, complete[start:end], reason)
+                kept.append(complete[position:start])
+                position = end
+            kept.append(complete[position:])
+            complete = b"".join(kept)
+        self.last_line += len(ends)
+        return complete
--- a/damsonstream/traces/page.py
+++ b/damsonstream/traces/page.py
@@ -1,7 +1,7 @@
-"""What a trace is like, as one HTML page with tables and charts: no scripts, nothing from elsewhere.
+"""Renders the statistics of a trace as one self-contained HTML page with tables and charts, without scripts.
 
-How it is called: `page(whole, stats)`, where `whole` is what `traces stats --json` prints. Charts are drawn
-as those of the incident report.
+Usage: `render_page(summary, stats)`, where `summary` is the object that `traces stats --json` prints. Charts
+have the style of the incident report.
 """
 
 from __future__ import annotations
@@ -13,26 +13,32 @@
 
 from damsonstream.incident.words import plain
 from damsonstream.report.charts import LINES, figure, logarithmic, own_ids, svg
-from damsonstream.traces.stats import SIZES, Stats
+from damsonstream.traces.stats import SIZE_BUCKETS_PER_DOUBLING, Stats
 
 
 def rates(stats: Stats) -> str:
-    whole, axes = figure(2.4)
-    points = stats.series()
-    if len(points) > 2000:  # a pixel's worth of seconds: the highest of them
+    """Draws GETs per second over time, as SVG."""
+    drawing, axes = figure(2.4)
+    points = stats.rate_series()
+    if len(points) > 2000:  # about one bar for each pixel: the highest of its buckets
         step = len(points) // 1000
         points = [max(points[at : at + step], key=lambda p: p[1]) for at in range(0, len(points), step)]
     axes.fill_between(
-        [t for t, _ in points], [n / stats.width for _, n in points], color=LINES[0], step="mid", alpha=0.85
+        [t for t, _ in points],
+        [n / stats.bucket_seconds for _, n in points],
+        color=LINES[0],
+        step="mid",
+        alpha=0.85,
     )
     axes.set_xlabel("seconds since the start")
-    axes.set_ylabel("GETs a second")
+    axes.set_ylabel("GETs per second")
     axes.set_ylim(bottom=0)
-    return svg(whole, "GETs a second")
+    return svg(drawing, "GETs per second")
 
 
 def popularity(stats: Stats, zipf: dict[str, float]) -> str:
-    whole, axes = figure(2.8)
+    """Draws requests by rank of the object with the fitted Zipf law, as SVG."""
+    drawing, axes = figure(2.8)
     points = stats.popularity()
     axes.loglog(
         [rank for rank, _ in points],
@@ -49,19 +55,20 @@
         axes.legend()
     logarithmic(axes.xaxis, axes.yaxis)
     axes.set_xlabel("rank of the object")
-    axes.set_ylabel("times wanted")
-    return svg(whole, "Popularity")
+    axes.set_ylabel("requests")
+    return svg(drawing, "Popularity")
 
 
-def misses(told: dict[str, Any]) -> str:
-    whole, axes = figure(2.8)
-    for place, (key, label) in enumerate((("by_objects", "cache size in objects"), ("by_bytes", "in bytes"))):
-        curve = told["miss_ratio"][key]
+def misses(summary: dict[str, Any]) -> str:
+    """Draws the miss ratio over the cache size, as SVG."""
+    drawing, axes = figure(2.8)
+    for index, (key, label) in enumerate((("by_objects", "cache size in objects"), ("by_bytes", "in bytes"))):
+        curve = summary["miss_ratio"][key]
         axes.errorbar(
             [one["cache"] for one in curve],
             [one["misses"] for one in curve],
             yerr=[one["error"] for one in curve],
-            color=LINES[place],
+            color=LINES[index],
             marker=".",
             capsize=2,
             label=label,
@@ -72,18 +79,22 @@
     axes.set_xlabel("cache size")
     axes.set_ylabel("miss ratio")
     axes.legend()
-    return svg(whole, "Miss ratio by cache size")
+    return svg(drawing, "Miss ratio by cache size")
 
 
 def sizes(stats: Stats) -> str:
-    whole, axes = figure(2.4)
-    filled = [place for place, count in enumerate(stats.sizes.tolist()) if count]
+    """Draws the histogram of object sizes, as SVG."""
+    drawing, axes = figure(2.4)
+    filled = [bucket for bucket, count in enumerate(stats.sizes.tolist()) if count]
     if filled:
         low, high = filled[0], filled[-1] + 1
         axes.bar(
-            [2 ** (place / SIZES) for place in range(low, high)],
+            [2 ** (bucket / SIZE_BUCKETS_PER_DOUBLING) for bucket in range(low, high)],
             stats.sizes[low:high],
-            width=[2 ** ((place + 1) / SIZES) - 2 ** (place / SIZES) for place in range(low, high)],
+            width=[
+                2 ** ((bucket + 1) / SIZE_BUCKETS_PER_DOUBLING) - 2 ** (bucket / SIZE_BUCKETS_PER_DOUBLING)
+                for bucket in range(low, high)
+            ],
             align="edge",
             color=LINES[1],
         )
@@ -91,20 +102,23 @@
         logarithmic(axes.xaxis)
     axes.set_xlabel("bytes")
     axes.set_ylabel("GETs")
-    return svg(whole, "Sizes")
+    return svg(drawing, "Sizes")
 
 
-def page(whole: dict[str, Any], stats: Stats) -> str:
-    told = whole["stats"]
-    drawn = {
+def page(summary: dict[str, Any], stats: Stats) -> str:
+    """Returns the HTML page."""
+    stats_summary = summary["stats"]
+    charts = {
         "rates": rates(stats),
-        "popularity": popularity(stats, told["objects"]["zipf"]),
-        "misses": misses(told),
+        "popularity": popularity(stats, stats_summary["objects"]["zipf"]),
+        "misses": misses(stats_summary),
         "sizes": sizes(stats),
     }
     environment = Environment(loader=PackageLoader("damsonstream.traces", "."), autoescape=True,
                               undefined=StrictUndefined, trim_blocks=True, lstrip_blocks=True)  # fmt: skip
     environment.filters["plain"] = plain
     return environment.get_template("page.html").render(
-        whole=whole, told=told, charts={name: Markup(own_ids(text, name)) for name, text in drawn.items()}
+        whole=summary,
+        told=stats_summary,
+        charts={name: Markup(own_ids(text, name)) for name, text in charts.items()},
     )
--- a/damsonstream/traces/reader.py
+++ b/damsonstream/traces/reader.py
@@ -1,9 +1,9 @@
-"""Reads traces: files in, GETs out in order, with an account of every row.
+"""Reads trace files as GETs in time order, and counts the fate of every row.
 
-How it is called: `Reading(paths, format, ...)`; `batches()` yields arrays of `gets.GET`, whose times are
-microseconds since the first; then `tally`, `digest` and `order` tell what was read. Shards are one after the
-other where each begins after the last one's end (give or take the window), else they are merged by time, all
-in bounded memory. All judgement is in the modules without I/O.
+Usage: `TraceReader(paths, format, ...).batches()` yields arrays of `gets.GET` whose times are microseconds
+since the first GET. Afterwards `tally`, `digest` and `buffers` hold statistics of what was read. Shards are
+read one after the other if each begins after the end of the one before (within the reorder window), otherwise
+they are merged by time; both in bounded memory. The modules without I/O make all decisions about rows.
 """
 
 from __future__ import annotations
@@ -18,115 +18,126 @@
 
 import numpy as np
 
-from damsonstream.traces import rows as splitting
+from damsonstream.traces import rows as csv_rows
 from damsonstream.traces import source
 from damsonstream.traces.digest import Digest
 from damsonstream.traces.format import Format
-from damsonstream.traces.gets import GET, MEND, SKIP, Batch, Maker, Options
-from damsonstream.traces.guard import Guard
-from damsonstream.traces.order import Order, Rule
+from damsonstream.traces.gets import GET, MENDED_CODES, SKIPPED_CODES, Batch, GetBuilder, Options
+from damsonstream.traces.guard import LineSanitizer
+from damsonstream.traces.order import ReorderBuffer, Rule
 from damsonstream.traces.tally import Tally
 
-AHEAD = 3  # blocks that are made at once: more of them wait for the interpreter's lock, and take memory
+# Blocks that are parsed in parallel. More of them only wait for the interpreter lock, and take memory.
+MAX_PENDING_BLOCKS = 3
 
 
 @dataclass(slots=True)
 class Reading:
+    """One pass over the CSV files of a trace."""
+
     paths: list[Path]
     format: Format
     options: Options = field(default_factory=Options)
     rule: Rule = field(default_factory=Rule)
-    shards: str = "auto"  # follow (one after the other), merge, or auto
-    block: int = source.BLOCK
+    shards: str = "auto"  # "follow" (one after the other), "merge" or "auto"
+    block_size: int = source.BLOCK_SIZE
     tally: Tally = field(default_factory=Tally)
     digest: Digest = field(default_factory=Digest)
-    orders: list[Order] = field(default_factory=list)
-    base: int | None = None  # time of the first GET, microseconds of the trace's own clock
+    buffers: list[ReorderBuffer] = field(default_factory=list)
+    start_time: int | None = None  # of the first GET, microseconds on the trace's own clock
     merged: bool = False
 
     def batches(self) -> Iterator[np.ndarray]:
-        self.merged = self.shards == "merge" or (self.shards == "auto" and overlap(self))
+        """Yields the GETs of all files in time order."""
+        self.merged = self.shards == "merge" or (self.shards == "auto" and shards_overlap(self))
         streams = [[path] for path in self.paths] if self.merged else [self.paths]
         for gets in (
-            merge([self.stream(paths) for paths in streams]) if self.merged else self.stream(self.paths)
+            merge_by_time([self.ordered_gets(paths) for paths in streams])
+            if self.merged
+            else self.ordered_gets(self.paths)
         ):
             if not len(gets):
                 continue
-            if self.base is None:
-                self.base = int(gets["time"][0])
-            gets["time"] -= self.base
+            if self.start_time is None:
+                self.start_time = int(gets["time"][0])
+            gets["time"] -= self.start_time
             self.digest.add(gets)
             yield gets
 
-    def stream(self, paths: list[Path]) -> Iterator[np.ndarray]:
-        """GETs of files that follow one another, in order."""
-        order, maker = Order(self.rule), Maker(self.format, self.options)
-        self.orders.append(order)
+    def ordered_gets(self, paths: list[Path]) -> Iterator[np.ndarray]:
+        """Yields the GETs of files that follow one another, in time order."""
+        buffer, builder = ReorderBuffer(self.rule), GetBuilder(self.format, self.options)
+        self.buffers.append(buffer)
         for path in paths:
-            for name, batch, text in self.file(path, maker):
-                out = order.feed(batch)
+            for name, batch, text in self.read_file(path, builder):
+                ordered = buffer.feed(batch)
                 self.tally.enter(name, batch, text)
-                yield out
-        yield order.end()
-
-    def file(self, path: Path, maker: Maker) -> Iterator[tuple[str, Batch, Lines]]:
-        """Blocks are made into columns side by side (Arrow and numpy leave the interpreter's lock), and come
-        out in order."""
-        guard, format, first = Guard(), self.format, True
-        with ThreadPoolExecutor(AHEAD, "traces") as pool:
-            made: deque[Future[tuple[Batch, Lines]]] = deque()
-            for block in self.guarded(path, guard):
-                start = guard.line - block.count(b"\n") + 1
+                yield ordered
+        yield buffer.finish()
+
+    def read_file(self, path: Path, builder: GetBuilder) -> Iterator[tuple[str, Batch, LineTexts]]:
+        """Yields the batches of one file in file order, with the file's name and the texts of lines. Blocks
+        are parsed in parallel threads, because Arrow and numpy release the interpreter lock."""
+        sanitizer, format, first = LineSanitizer(), self.format, True
+        with ThreadPoolExecutor(MAX_PENDING_BLOCKS, "traces") as pool:
+            pending: deque[Future[tuple[Batch, LineTexts]]] = deque()
+            for block in self.sanitized_blocks(path, sanitizer):
+                start = sanitizer.last_line - block.count(b"\n") + 1
                 if first and format.header:
                     line, _, rest = block.partition(b"\n")
-                    told = header(line, format)
-                    if told is not None:
-                        format, block, start = told, rest, start + 1
-                        if not set(splitting.needed(self.format)) <= set(format.columns):
-                            lacks = sorted(set(splitting.needed(self.format)) - set(format.columns))
-                            self.tally.faults.append(f"{path.name}: its header lacks {', '.join(lacks)}")
+                    matched = match_header(line, format)
+                    if matched is not None:
+                        format, block, start = matched, rest, start + 1
+                        if not set(csv_rows.needed_columns(self.format)) <= set(format.columns):
+                            missing = sorted(set(csv_rows.needed_columns(self.format)) - set(format.columns))
+                            self.tally.faults.append(f"{path.name}: its header lacks {', '.join(missing)}")
                             return
-                        maker = Maker(format, self.options)
+                        builder = GetBuilder(format, self.options)
                 first = False
-                bad = [one for one in guard.bad if one[0] <= guard.line]
-                guard.bad = guard.bad[len(bad) :]  # of a line that is still coming
-                made.append(pool.submit(one_block, block, start, format, maker, bad, guard.cut))
-                if len(made) > AHEAD:
-                    yield (path.name, *made.popleft().result())
-            while made:
-                yield (path.name, *made.popleft().result())
-
-    def guarded(self, path: Path, guard: Guard) -> Iterator[bytes]:
-        for data in source.blocks(path, self.tally.faults, self.block):
-            if whole := guard.feed(data):
-                yield whole
-        if rest := guard.end():
-            yield rest
+                rejected = [one for one in sanitizer.rejected if one[0] <= sanitizer.last_line]
+                # what remains belongs to a line that is still incomplete
+                sanitizer.rejected = sanitizer.rejected[len(rejected) :]
+                pending.append(
+                    pool.submit(build_block, block, start, format, builder, rejected, sanitizer.unterminated)
+                )
+                if len(pending) > MAX_PENDING_BLOCKS:
+                    yield (path.name, *pending.popleft().result())
+            while pending:
+                yield (path.name, *pending.popleft().result())
+
+    def sanitized_blocks(self, path: Path, sanitizer: LineSanitizer) -> Iterator[bytes]:
+        """Yields the complete lines of a file, block by block."""
+        for data in source.blocks(path, self.tally.faults, self.block_size):
+            if complete := sanitizer.feed(data):
+                yield complete
+        if last := sanitizer.finish():
+            yield last
 
     def told(self) -> dict[str, Any]:
-        """What `traces stats --json` prints of the reading itself."""
-        seen = [order.seen for order in self.orders]
+        """Returns the part of `traces stats --json` that is about reading the files."""
+        time_stats = [buffer.stats for buffer in self.buffers]
         return {
             "format": self.format.name,
             "files": [path.name for path in self.paths],
             "shards": "merged" if self.merged else "one after the other",
-            **self.tally.told(),
+            **self.tally.summary(),
             "gets": self.digest.count,
             "digest": self.digest.hex(),
             "time": {
-                "backward": sum(one.backward for one in seen),
-                "deepest_ms": max((one.deepest for one in seen), default=0) / 1000,
-                "repeated": sum(one.repeated for one in seen),
-                "pauses": sum(one.gaps for one in seen),
-                "clock_steps_back": sum(one.steps for one in seen),
+                "backward": sum(one.backward for one in time_stats),
+                "deepest_ms": max((one.max_behind for one in time_stats), default=0) / 1000,
+                "repeated": sum(one.repeated for one in time_stats),
+                "pauses": sum(one.pauses for one in time_stats),
+                "clock_steps_back": sum(one.clock_steps_back for one in time_stats),
                 "window_s": self.rule.window / 1e6,
                 "late": self.rule.late,
             },
         }
 
 
-def header(line: bytes, format: Format) -> Format | None:
-    """The format with the columns that a file's first line names; None: it is no header but a row."""
+def match_header(line: bytes, format: Format) -> Format | None:
+    """Returns the format with the columns that the first line of a file names, or None if that line is not a
+    header but a row."""
     names = tuple(next(csv.reader([line.decode("utf-8-sig", "replace")], delimiter=format.delimiter), []))
     if names == format.columns:
         return format
@@ -135,113 +146,128 @@
     return replace(format, columns=names)
 
 
-def one_block(
-    block: bytes, start: int, format: Format, maker: Maker, bad: list[tuple[int, str, bytes]], cut: bool
-) -> tuple[Batch, Lines]:
-    batch = maker.make(splitting.split(block, start, format)) if block else empty()
-    enter_bad(batch, {line: reason for line, reason, _ in bad}, cut)
-    return batch, Lines(block, start, {line: text for line, _, text in bad})
+def build_block(
+    block: bytes,
+    start: int,
+    format: Format,
+    builder: GetBuilder,
+    rejected: list[tuple[int, str, bytes]],
+    unterminated: bool,
+) -> tuple[Batch, LineTexts]:
+    batch = builder.build(csv_rows.parse_lines(block, start, format)) if block else empty_batch()
+    set_rejected_fates(batch, {line: reason for line, reason, _ in rejected}, unterminated)
+    return batch, LineTexts(block, start, {line: text for line, _, text in rejected})
 
 
-def enter_bad(batch: Batch, reasons: dict[int, str], cut: bool) -> None:
-    """What the guard put an empty line for: its own reason, and not that it is empty."""
+def set_rejected_fates(batch: Batch, reasons: dict[int, str], unterminated: bool) -> None:
+    """Replaces the fate "empty" of lines that the sanitizer blanked out by the reason for it. If the file
+    ended without a newline, a last line with too few fields gets the fate "cut-line"."""
     if reasons:
-        batch.extra = [(line, SKIP[reasons[line]] if line in reasons else fate) for line, fate in batch.extra]
-        at = np.isin(batch.lines, list(reasons)) & (batch.fates == SKIP["empty"])
-        for place in np.flatnonzero(at):
-            batch.fates[place] = SKIP[reasons[int(batch.lines[place])]]
-    if cut and len(batch.extra) and batch.extra[-1][1] == SKIP["missing-fields"]:
-        batch.extra[-1] = (batch.extra[-1][0], SKIP["cut-line"])
-    elif cut and len(batch) and batch.fates[-1] == MEND["missing-fields"]:
-        batch.fates[-1] = SKIP["cut-line"]  # its last field may be cut off too
-
-
-def empty() -> Batch:
+        batch.extra = [
+            (line, SKIPPED_CODES[reasons[line]] if line in reasons else fate) for line, fate in batch.extra
+        ]
+        matching = np.isin(batch.lines, list(reasons)) & (batch.fates == SKIPPED_CODES["empty"])
+        for index in np.flatnonzero(matching):
+            batch.fates[index] = SKIPPED_CODES[reasons[int(batch.lines[index])]]
+    if unterminated and len(batch.extra) and batch.extra[-1][1] == SKIPPED_CODES["missing-fields"]:
+        batch.extra[-1] = (batch.extra[-1][0], SKIPPED_CODES["cut-line"])
+    elif unterminated and len(batch) and batch.fates[-1] == MENDED_CODES["missing-fields"]:
+        batch.fates[-1] = SKIPPED_CODES["cut-line"]  # its last field may be truncated too
+
+
+def empty_batch() -> Batch:
     return Batch(np.zeros(0, GET), np.zeros(0, np.uint8), np.zeros(0, np.int64))
 
 
 @dataclass(slots=True)
-class Lines:
-    """The text of a line of a block, looked up where an example is wanted."""
+class LineTexts:
+    """Finds the text of a line in a block, for examples."""
 
     block: bytes
-    first: int
-    texts: dict[int, bytes] = field(default_factory=dict)  # of lines that are empty in the block
+    first_line: int
+    texts: dict[int, bytes] = field(
+        default_factory=dict
+    )  # start of each line that was blanked out in the block
 
     def __call__(self, line: int) -> str:
         if line in self.texts:
             return self.texts[line].decode(errors="replace")
-        found = self.block.split(b"\n", line - self.first + 1)
-        return found[line - self.first].decode(errors="replace") if line - self.first < len(found) else ""
-
-
-def ends(reading: Reading, path: Path) -> tuple[int, int] | None:
-    """Times near the beginning and the end of a file: of its first block, and of all of it where it is
-    small."""
-    maker = Maker(reading.format, reading.options)
+        parts = self.block.split(b"\n", line - self.first_line + 1)
+        return (
+            parts[line - self.first_line].decode(errors="replace")
+            if line - self.first_line < len(parts)
+            else ""
+        )
+
+
+def time_range(reading: Reading, path: Path) -> tuple[int, int] | None:
+    """Returns the time of the first usable row of a file and the largest time in its last block, or None if
+    the file has no usable row."""
+    builder = GetBuilder(reading.format, reading.options)
     first: int | None = None
     last = 0
-    guard = Guard()
+    sanitizer = LineSanitizer()
     faults: list[str] = []
-    for data in source.blocks(path, faults, reading.block):
-        block = guard.feed(data)
-        start = guard.line - block.count(b"\n") + 1
+    for data in source.blocks(path, faults, reading.block_size):
+        block = sanitizer.feed(data)
+        start = sanitizer.last_line - block.count(b"\n") + 1
         if not block:
             continue
-        batch = maker.make(splitting.split(block, start, reading.format))
-        good = batch.gets["time"][batch.fates < 128]
-        if len(good):
-            first = int(good[0]) if first is None else first
-            last = int(good.max())
+        batch = builder.build(csv_rows.parse_lines(block, start, reading.format))
+        usable = batch.gets["time"][batch.fates < 128]
+        if len(usable):
+            first = int(usable[0]) if first is None else first
+            last = int(usable.max())
     return None if first is None else (first, last)
 
 
-def overlap(reading: Reading) -> bool:
-    """Whether shards have to be merged: one begins before the one before it has ended."""
+def shards_overlap(reading: Reading) -> bool:
+    """Returns whether shards must be merged: one begins before the end of the previous one."""
     if len(reading.paths) < 2:
         return False
-    before: int | None = None
+    previous_end: int | None = None
     for path in reading.paths:
-        found = ends(reading, path)
-        if found is None:
+        span = time_range(reading, path)
+        if span is None:
             continue
-        if before is not None and found[0] < before - reading.rule.window:
+        if previous_end is not None and span[0] < previous_end - reading.rule.window:
             return True
-        before = found[1]
+        previous_end = span[1]
     return False
 
 
-def merge(streams: list[Iterator[np.ndarray]]) -> Iterator[np.ndarray]:
-    """Streams that are each in order, as one; equal times in the order of the streams."""
+def merge_by_time(streams: list[Iterator[np.ndarray]]) -> Iterator[np.ndarray]:
+    """Merges sorted streams into one; equal times keep the order of the streams."""
     heads: list[np.ndarray] = [np.zeros(0, GET) for _ in streams]
-    done = [False] * len(streams)
+    exhausted = [False] * len(streams)
 
-    def fill(place: int) -> None:
-        while not len(heads[place]) and not done[place]:
-            found = next(streams[place], None)
-            if found is None:
-                done[place] = True
+    def fill(index: int) -> None:
+        while not len(heads[index]) and not exhausted[index]:
+            batch = next(streams[index], None)
+            if batch is None:
+                exhausted[index] = True
             else:
-                heads[place] = found
+                heads[index] = batch
 
     while True:
-        for place in range(len(streams)):
-            fill(place)
-        live = [head for head in heads if len(head)]
-        if not live:
+        for index in range(len(streams)):
+            fill(index)
+        remaining = [head for head in heads if len(head)]
+        if not remaining:
             return
-        edge = min(int(head["time"][-1]) for head in live)
+        edge = min(int(head["time"][-1]) for head in remaining)
         parts = []
-        for place, head in enumerate(heads):
+        for index, head in enumerate(heads):
             count = int(np.searchsorted(head["time"], edge, side="left"))
-            if count == 0 and len(head) and int(head["time"][-1]) == edge and all_at(heads, edge):
-                count = len(head)  # nothing earlier is left anywhere
+            if count == 0 and len(head) and int(head["time"][-1]) == edge and all_from(heads, edge):
+                count = len(head)  # no stream has an earlier GET
             parts.append(head[:count])
-            heads[place] = head[count:]
-        whole = np.concatenate(parts)
-        if len(whole):
-            yield whole[np.argsort(whole["time"], kind="stable")]
+            heads[index] = head[count:]
+        combined = np.concatenate(parts)
+        if len(combined):
+            yield combined[np.argsort(combined["time"], kind="stable")]
 
 
-def all_at(heads: list[np.ndarray], edge: int) -> bool:
+def all_from(heads: list[np.ndarray], edge: int) -> bool:
+    """Returns whether no stream has a GET before `edge`."""
     return all(not len(head) or int(head["time"][0]) >= edge for head in heads)
--- a/damsonstream/traces/reuse.py
+++ b/damsonstream/traces/reuse.py
@@ -1,12 +1,12 @@
-"""Reuse distances and the miss ratio of a cache of any size, from a sample of the objects. No I/O.
+"""Estimates reuse distances and LRU miss ratios for any cache size from a sample of the objects. No I/O.
 
-How it is called: `Reuse().add(objects, sizes)` in the trace's order, then `curve(...)`. `Exact` does the same
-for all objects, for tests and for small traces.
+Usage: call `ReuseEstimator().add(objects, sizes)` in trace order, then `curve(...)`. `ExactReuse` does the
+same for all objects, for tests and small traces.
 
-Method: SHARDS (Waldspurger and others, FAST 2015) with a fixed number of objects: an object is in the sample
-if its hash is under a threshold, which is lowered as the sample fills up; a distance in the sample stands for
-`1 / rate` times as much. Two samples with hashes of their own are kept: their mean is the estimate, half
-their difference is stated as its error.
+Method: SHARDS (Waldspurger et al., FAST 2015) with a fixed number of objects. An object is sampled if its
+hash is below a threshold, which is lowered as the sample fills up; a distance in the sample stands for
+`1 / rate` times that distance. There are two samples with independent hashes: the estimate is their mean, and
+half their difference is reported as its error.
 """
 
 from __future__ import annotations
@@ -16,184 +16,200 @@
 
 import numpy as np
 
-from damsonstream.traces.gets import mixed
+from damsonstream.traces.gets import mix64
 
-MOST = 4096  # objects in a sample: the error of a miss ratio stays about a hundredth (docs/traces.md)
-WHOLE = 1 << 64
-STEPS = 24  # buckets of distances for each doubling
+SAMPLE_OBJECTS = 4096  # objects in a sample; gives miss ratios with an error of about 0.01 (docs/traces.md)
+HASH_SPACE = 1 << 64
+BUCKETS_PER_DOUBLING = 24  # of histograms of distances
 
 
 class Fenwick:
-    """Sums over places, of which one changes at a time."""
+    """Fenwick tree: prefix sums over an array whose elements change one at a time."""
 
     def __init__(self, size: int) -> None:
         self.sums = [0] * (size + 1)
 
-    def add(self, place: int, amount: int) -> None:
-        place += 1
+    def add(self, index: int, amount: int) -> None:
+        index += 1
         sums, size = self.sums, len(self.sums)
-        while place < size:
-            sums[place] += amount
-            place += place & -place
+        while index < size:
+            sums[index] += amount
+            index += index & -index
 
-    def before(self, place: int) -> int:
-        """Of all places under this one."""
+    def prefix_sum(self, index: int) -> int:
+        """Returns the sum of all elements before `index`."""
         total, sums = 0, self.sums
-        while place > 0:
-            total += sums[place]
-            place -= place & -place
+        while index > 0:
+            total += sums[index]
+            index -= index & -index
         return total
 
 
-class Stack:
-    """Objects by their last use: how many, and how many bytes, were used since."""
+class LruStack:
+    """LRU stack that counts the objects and bytes used since the last use of an object."""
 
-    def __init__(self, room: int) -> None:
-        self.room = room  # places, at least twice the objects
-        self.last: dict[int, tuple[int, int]] = {}  # object: place, size
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity  # slots, at least twice the number of objects
+        self.last_use: dict[int, tuple[int, int]] = {}  # object: slot, size
         self.clear()
 
     def clear(self) -> None:
-        self.count, self.bytes, self.next = Fenwick(self.room), Fenwick(self.room), 0
-        self.objects = self.total = 0
+        self.object_sums, self.byte_sums, self.next_slot = Fenwick(self.capacity), Fenwick(self.capacity), 0
+        self.total_objects = self.total_bytes = 0
 
-    def use(self, thing: int, size: int) -> tuple[int, int] | None:
-        """Objects and bytes used since its last use, itself included; None: never used before."""
-        if self.next == self.room:
+    def use(self, object_id: int, size: int) -> tuple[int, int] | None:
+        """Records a use. Returns the objects and bytes used since the previous use of this object, itself
+        included, or None at its first use."""
+        if self.next_slot == self.capacity:
             self.compact()
-        before = self.last.pop(thing, None)
-        found = None
-        if before is not None:
-            place, old = before
-            found = (self.objects - self.count.before(place), self.total - self.bytes.before(place))
-            self.remove(place, old)
-        self.put(thing, size)
-        return found
-
-    def put(self, thing: int, size: int) -> None:
-        self.last[thing] = (self.next, size)
-        self.count.add(self.next, 1)
-        self.bytes.add(self.next, size)
-        self.objects, self.total, self.next = self.objects + 1, self.total + size, self.next + 1
-
-    def remove(self, place: int, size: int) -> None:
-        self.count.add(place, -1)
-        self.bytes.add(place, -size)
-        self.objects, self.total = self.objects - 1, self.total - size
-
-    def forget(self, thing: int) -> None:
-        if (before := self.last.pop(thing, None)) is not None:
-            self.remove(*before)
+        previous = self.last_use.pop(object_id, None)
+        distance = None
+        if previous is not None:
+            slot, old_size = previous
+            distance = (
+                self.total_objects - self.object_sums.prefix_sum(slot),
+                self.total_bytes - self.byte_sums.prefix_sum(slot),
+            )
+            self.remove(slot, old_size)
+        self.push(object_id, size)
+        return distance
+
+    def push(self, object_id: int, size: int) -> None:
+        self.last_use[object_id] = (self.next_slot, size)
+        self.object_sums.add(self.next_slot, 1)
+        self.byte_sums.add(self.next_slot, size)
+        self.total_objects, self.total_bytes, self.next_slot = (
+            self.total_objects + 1,
+            self.total_bytes + size,
+            self.next_slot + 1,
+        )
+
+    def remove(self, slot: int, size: int) -> None:
+        self.object_sums.add(slot, -1)
+        self.byte_sums.add(slot, -size)
+        self.total_objects, self.total_bytes = self.total_objects - 1, self.total_bytes - size
+
+    def evict(self, object_id: int) -> None:
+        if (entry := self.last_use.pop(object_id, None)) is not None:
+            self.remove(*entry)
 
     def compact(self) -> None:
-        order = sorted(self.last.items(), key=lambda entry: entry[1][0])
-        self.room = max(self.room, 2 * len(order) + 16)
-        self.last = {}
+        """Renumbers the slots without gaps, when all are taken."""
+        order = sorted(self.last_use.items(), key=lambda entry: entry[1][0])
+        self.capacity = max(self.capacity, 2 * len(order) + 16)
+        self.last_use = {}
         self.clear()
-        for thing, (_, size) in order:
-            self.put(thing, size)
+        for object_id, (_, size) in order:
+            self.push(object_id, size)
 
 
-class Sample:
-    """One sample of objects, with the hash that `salt` gives."""
+class ShardsSample:
+    """One sample of objects, chosen by a hash with `salt`."""
 
-    def __init__(self, salt: int, most: int = MOST) -> None:
-        self.salt, self.most, self.limit = salt, most, WHOLE
-        self.stack = Stack(4 * min(most, 1 << 14))  # it grows
-        self.heap: list[tuple[int, int]] = []  # -hash, object: those that leave first as the threshold falls
-        self.objects: dict[int, float] = {}  # distance bucket: weight
-        self.bytes: dict[int, float] = {}
-        self.uses = 0.0  # of the sample's objects
-        self.seen = 0  # uses of all objects
+    def __init__(self, salt: int, max_objects: int = SAMPLE_OBJECTS) -> None:
+        self.salt, self.max_objects, self.threshold = salt, max_objects, HASH_SPACE
+        self.stack = LruStack(4 * min(max_objects, 1 << 14))  # grows as needed
+        self.heap: list[tuple[int, int]] = []  # (-hash, object): the largest hashes are evicted first
+        self.object_distances: dict[int, float] = {}  # distance bucket: weight
+        self.byte_distances: dict[int, float] = {}
+        self.sampled_uses = 0.0  # weighted uses of sampled objects
+        self.total_uses = 0  # uses of all objects, sampled or not
 
     @property
     def rate(self) -> float:
-        return self.limit / WHOLE
+        """Share of the objects that is sampled."""
+        return self.threshold / HASH_SPACE
 
     def add(self, objects: np.ndarray, sizes: np.ndarray) -> None:
-        self.seen += len(objects)
-        hashes = mixed(objects, self.salt)
-        kept = np.flatnonzero(hashes < np.uint64(min(self.limit, WHOLE - 1)))
-        for thing, hash, size in zip(
-            objects[kept].tolist(), hashes[kept].tolist(), sizes[kept].tolist(), strict=True
+        self.total_uses += len(objects)
+        hashes = mix64(objects, self.salt)
+        sampled = np.flatnonzero(hashes < np.uint64(min(self.threshold, HASH_SPACE - 1)))
+        for object_id, hash, size in zip(
+            objects[sampled].tolist(), hashes[sampled].tolist(), sizes[sampled].tolist(), strict=True
         ):
-            if hash < self.limit:
-                self.use(thing, hash, max(1, size))
-
-    def use(self, thing: int, hash: int, size: int) -> None:
-        found = self.stack.use(thing, size)
-        self.uses += 1
-        if found is not None:
-            count, total = found
-            bucket = bucketed(count / self.rate)
-            self.objects[bucket] = self.objects.get(bucket, 0.0) + 1
-            bucket = bucketed(total / self.rate)
-            self.bytes[bucket] = self.bytes.get(bucket, 0.0) + 1
+            if hash < self.threshold:
+                self.use(object_id, hash, max(1, size))
+
+    def use(self, object_id: int, hash: int, size: int) -> None:
+        distance = self.stack.use(object_id, size)
+        self.sampled_uses += 1
+        if distance is not None:
+            count, total_bytes = distance
+            bucket = bucket_of(count / self.rate)
+            self.object_distances[bucket] = self.object_distances.get(bucket, 0.0) + 1
+            bucket = bucket_of(total_bytes / self.rate)
+            self.byte_distances[bucket] = self.byte_distances.get(bucket, 0.0) + 1
             return
-        heappush(self.heap, (-hash, thing))
-        if len(self.heap) > self.most:
-            self.lower()
-
-    def lower(self) -> None:
-        """The sample is full: the largest hashes leave, and what was counted weighs less."""
-        before = self.rate
-        while len(self.heap) > 0.9 * self.most:
-            hash, thing = heappop(self.heap)
-            self.stack.forget(thing)
-            self.limit = -hash
-        less = self.rate / before
-        for table in (self.objects, self.bytes):
-            for bucket in table:
-                table[bucket] *= less
-        self.uses *= less
-
-    def misses(self, size: float, of: dict[int, float]) -> float:
-        """Share of uses that a cache of so many objects (or bytes), which drops the one used longest ago,
-        misses."""
-        expected = self.seen * self.rate
+        heappush(self.heap, (-hash, object_id))
+        if len(self.heap) > self.max_objects:
+            self.lower_threshold()
+
+    def lower_threshold(self) -> None:
+        """Lowers the threshold of a full sample: evicts the largest hashes and scales down the counts."""
+        old_rate = self.rate
+        while len(self.heap) > 0.9 * self.max_objects:
+            hash, object_id = heappop(self.heap)
+            self.stack.evict(object_id)
+            self.threshold = -hash
+        factor = self.rate / old_rate
+        for histogram in (self.object_distances, self.byte_distances):
+            for bucket in histogram:
+                histogram[bucket] *= factor
+        self.sampled_uses *= factor
+
+    def miss_ratio(self, size: float, histogram: dict[int, float]) -> float:
+        """Returns the miss ratio of an LRU cache of `size` objects or bytes, depending on the histogram."""
+        expected = self.total_uses * self.rate
         if not expected:
             return 1.0
-        limit = bucketed(size)
-        hits = sum(weight for bucket, weight in of.items() if bucket <= limit)
-        # whether the few very popular objects are in the sample is chance: uses that it has too many or too
-        # few are theirs, at the smallest distance (SHARDS-adj)
-        hits += expected - self.uses
+        last_bucket = bucket_of(size)
+        hits = sum(weight for bucket, weight in histogram.items() if bucket <= last_bucket)
+        # Whether the few very popular objects are sampled is a matter of chance. Surplus or missing uses are
+        # attributed to them, at the smallest distance (SHARDS-adj).
+        hits += expected - self.sampled_uses
         return min(1.0, max(0.0, 1 - hits / expected))
 
 
-def bucketed(value: float) -> int:
-    return int(np.log2(max(1.0, value)) * STEPS)
+def bucket_of(value: float) -> int:
+    """Returns the index of the logarithmic bucket for a distance."""
+    return int(np.log2(max(1.0, value)) * BUCKETS_PER_DOUBLING)
 
 
-class Reuse:
-    def __init__(self, most: int = MOST) -> None:
-        self.samples = (Sample(31, most), Sample(32, most))
+class ReuseEstimator:
+    """Estimates miss ratios from two independent samples."""
+
+    def __init__(self, max_objects: int = SAMPLE_OBJECTS) -> None:
+        self.samples = (ShardsSample(31, max_objects), ShardsSample(32, max_objects))
 
     def add(self, objects: np.ndarray, sizes: np.ndarray) -> None:
         for sample in self.samples:
             sample.add(objects, sizes)
 
     def curve(self, sizes: Sequence[float], bytes_: bool = False) -> list[tuple[float, float, float]]:
-        """Cache size, miss ratio, and how far off it may be."""
-        found = []
+        """Returns (cache size, miss ratio, error) for each size, in objects or in bytes."""
+        points = []
         for size in sizes:
-            one, other = (s.misses(size, s.bytes if bytes_ else s.objects) for s in self.samples)
-            found.append((size, (one + other) / 2, abs(one - other) / 2))
-        return found
+            first, second = (
+                s.miss_ratio(size, s.byte_distances if bytes_ else s.object_distances) for s in self.samples
+            )
+            points.append((size, (first + second) / 2, abs(first - second) / 2))
+        return points
 
     @property
     def rate(self) -> float:
         return sum(sample.rate for sample in self.samples) / len(self.samples)
 
 
-class Exact:
-    """Every object."""
+class ExactReuse:
+    """Computes miss ratios from all objects."""
 
     def __init__(self) -> None:
-        self.sample = Sample(31, 1 << 60)
+        self.sample = ShardsSample(31, 1 << 60)
 
     def add(self, objects: np.ndarray, sizes: np.ndarray) -> None:
         self.sample.add(objects, sizes)
 
-    def misses(self, size: float, bytes_: bool = False) -> float:
-        return self.sample.misses(size, self.sample.bytes if bytes_ else self.sample.objects)
+    def miss_ratio(self, size: float, bytes_: bool = False) -> float:
+        return self.sample.miss_ratio(
+            size, self.sample.byte_distances if bytes_ else self.sample.object_distances
+        )
--- a/damsonstream/traces/rows.py
+++ b/damsonstream/traces/rows.py
@@ -1,9 +1,8 @@
-"""Whole lines of a trace as columns, with the line number of each row. No I/O.
+"""Parses complete lines of a trace into columns, with the line number of each row. No I/O.
 
-How it is called: `split(block, first, format)` takes whole, guarded lines (`guard.py`), of which the first
-has the number `first`, and gives `Rows`. Parsed by Arrow's CSV reader (pyarrow): a row with fields missing or
-to spare is parsed once more by itself, with the standard library's, and takes its place in the order of the
-lines.
+Usage: `parse_lines(block, first, format)` takes complete, sanitized lines (`sanitizer.py`), of which the
+first has the number `first`, and returns `Rows`. Lines are parsed with the CSV reader of pyarrow; a row with
+too few or too many fields is parsed again with the `csv` module, and inserted at its position.
 """
 
 from __future__ import annotations
@@ -22,105 +21,113 @@
 
 @dataclass(slots=True)
 class Rows:
-    lines: Ints  # line numbers, rising
-    columns: dict[str, pa.Array]  # of strings, not checked for UTF-8
+    """Parsed rows. `mended` are repaired rows, `skipped` also has lines that are not among the rows."""
+
+    lines: Ints  # line numbers, ascending
+    columns: dict[str, pa.Array]  # of strings, not validated as UTF-8
     mended: dict[str, list[int]] = field(default_factory=dict)  # rule: lines
     skipped: dict[str, list[int]] = field(default_factory=dict)  # reason: lines
 
 
-def needed(format: Format) -> list[str]:
-    """Columns that a GET is made of, in the file's order."""
+def needed_columns(format: Format) -> list[str]:
+    """Returns the columns that GETs are built from, in file order."""
     names = {format.time.column, format.time.minus, *format.key, format.size.column, format.client,
              format.tenant, format.operation.column}  # fmt: skip
     return [column for column in format.columns if column in names]
 
 
-def spoilt(block: bytes, first: int) -> tuple[list[int], list[int]]:
-    """Lines with a byte of zero, and lines that are not UTF-8."""
-    zeros: list[int] = []
+def find_bad_lines(block: bytes, first: int) -> tuple[list[int], list[int]]:
+    """Returns the numbers of lines with a NUL byte, and of lines that are not valid UTF-8."""
+    nul_lines: list[int] = []
     if b"\0" in block:
         array = np.frombuffer(block, np.uint8)
         ends = np.flatnonzero(array == 10)
-        zeros = sorted({int(n) + first for n in np.searchsorted(ends, np.flatnonzero(array == 0))})
-    wrong: list[int] = []
+        nul_lines = sorted({int(n) + first for n in np.searchsorted(ends, np.flatnonzero(array == 0))})
+    not_utf8: list[int] = []
     if not block.isascii():
         try:
             block.decode()
         except UnicodeDecodeError:
-            for place, line in enumerate(block.split(b"\n")):
+            for index, line in enumerate(block.split(b"\n")):
                 if not line.isascii():
                     try:
                         line.decode()
                     except UnicodeDecodeError:
-                        wrong.append(place + first)
-    return zeros, wrong
+                        not_utf8.append(index + first)
+    return nul_lines, not_utf8
 
 
-def split(block: bytes, first: int, format: Format) -> Rows:
-    zeros, wrong = spoilt(block, first)
-    if wrong:  # what is no UTF-8 is read as if replaced: Arrow gives odd rows as text
+def parse_lines(block: bytes, first: int, format: Format) -> Rows:
+    """Parses complete lines; `first` is the number of the first one."""
+    nul_lines, not_utf8 = find_bad_lines(block, first)
+    if not_utf8:  # replaced by valid UTF-8, because Arrow decodes invalid rows as text
         parts = block.split(b"\n")
-        for line in wrong:
+        for line in not_utf8:
             parts[line - first] = parts[line - first].decode(errors="replace").encode()
         block = b"\n".join(parts)
-    wide = len(format.columns)
-    odd: list[tuple[int, str]] = []  # line, its text
+    width = len(format.columns)
+    irregular: list[tuple[int, str]] = []  # line, its text
 
     def invalid(row: pacsv.InvalidRow) -> str:
-        odd.append((row.number, row.text))
+        irregular.append((row.number, row.text))
         return "skip"
 
-    names, wanted = list(format.columns), needed(format)
+    names, needed_names = list(format.columns), needed_columns(format)
     table = pacsv.read_csv(
         pa.py_buffer(block),
         pacsv.ReadOptions(use_threads=False, block_size=len(block) + 1, column_names=names),
         pacsv.ParseOptions(delimiter=format.delimiter, ignore_empty_lines=False, invalid_row_handler=invalid),
         pacsv.ConvertOptions(check_utf8=False, column_types={name: pa.string() for name in names},
-                             include_columns=wanted, strings_can_be_null=False),
+                             include_columns=needed_names, strings_can_be_null=False),
     )  # fmt: skip
-    columns = {name: table.column(name).combine_chunks() for name in wanted}
+    columns = {name: table.column(name).combine_chunks() for name in needed_names}
     columns = {n: c if isinstance(c, pa.Array) else pa.array([], pa.string()) for n, c in columns.items()}
     count = block.count(b"\n")
     numbers = np.arange(first, first + count)
-    taken_out = np.array([number - 1 for number, _ in odd], np.int64)
-    lines = np.delete(numbers, taken_out) if len(taken_out) else numbers
+    removed = np.array([number - 1 for number, _ in irregular], np.int64)
+    lines = np.delete(numbers, removed) if len(removed) else numbers
     rows = Rows(lines, columns)
-    if block.startswith(b"\n") or b"\n\n" in block:  # Arrow gives an empty line as a row of empty fields
+    if block.startswith(b"\n") or b"\n\n" in block:  # Arrow parses an empty line as a row of empty fields
         ends = np.flatnonzero(np.frombuffer(block, np.uint8) == 10)
         rows.skipped["empty"] = (np.flatnonzero(np.diff(ends, prepend=-1) == 1) + first).tolist()
-    if zeros:
-        rows.skipped["nul-byte"] = zeros
-    if wrong:
-        rows.mended["bad-utf8"] = wrong
-    if odd:
-        put_back(rows, odd, first, format, wide, wanted)
+    if nul_lines:
+        rows.skipped["nul-byte"] = nul_lines
+    if not_utf8:
+        rows.mended["bad-utf8"] = not_utf8
+    if irregular:
+        insert_irregular(rows, irregular, first, format, width, needed_names)
     return rows
 
 
-def put_back(
-    rows: Rows, odd: list[tuple[int, str]], first: int, format: Format, wide: int, wanted: list[str]
+def insert_irregular(
+    rows: Rows,
+    irregular: list[tuple[int, str]],
+    first: int,
+    format: Format,
+    width: int,
+    needed_names: list[str],
 ) -> None:
-    """Rows with too few or too many fields: what is needed may be there all the same."""
-    least = max(format.place(name) for name in (format.time.column, *format.key)) + 1
+    """Inserts rows with too few or too many fields if they have all fields that are required."""
+    min_fields = max(format.column_index(name) for name in (format.time.column, *format.key)) + 1
     kept: list[tuple[int, list[str]]] = []
-    for number, text in odd:
+    for number, text in irregular:
         line = number - 1 + first
         if not text.strip():
             rows.skipped.setdefault("empty", []).append(line)
             continue
         fields = next(csv.reader([text], delimiter=format.delimiter), [])
-        if len(fields) < least:
+        if len(fields) < min_fields:
             rows.skipped.setdefault("missing-fields", []).append(line)
             continue
-        rows.mended.setdefault("missing-fields" if len(fields) < wide else "extra-fields", []).append(line)
-        kept.append((line, [*fields, *[""] * (wide - len(fields))][:wide]))
+        rows.mended.setdefault("missing-fields" if len(fields) < width else "extra-fields", []).append(line)
+        kept.append((line, [*fields, *[""] * (width - len(fields))][:width]))
     if not kept:
         return
     lines = np.concatenate((rows.lines, [line for line, _ in kept]))
     order = np.argsort(lines, kind="stable")
     rows.lines = lines[order]
-    for name in wanted:
-        place = format.place(name)
-        more = pa.array([fields[place] for _, fields in kept], pa.string())
-        whole = pa.concat_arrays([rows.columns[name], more])
-        rows.columns[name] = whole.take(pa.array(order))
+    for name in needed_names:
+        index = format.column_index(name)
+        added = pa.array([fields[index] for _, fields in kept], pa.string())
+        combined = pa.concat_arrays([rows.columns[name], added])
+        rows.columns[name] = combined.take(pa.array(order))
--- a/damsonstream/traces/shape.py
+++ b/damsonstream/traces/shape.py
@@ -1,13 +1,14 @@
-"""Traces made from traces, and from nothing: slices, scales, new names, synthetic ones. No I/O.
+"""Transforms traces (sampling, time scaling, anonymization) and generates synthetic ones. No I/O.
 
-How it is called: `Thinning(...)`, `Scaling(...)` and `Renaming(...)` each have `apply(gets)`; `generate(...)`
-yields GETs in order. All chance comes from the seed, all choices from hashes: the same input gives the same
-output, in whatever batches.
+Usage: `Thinning(...)`, `TimeScaling(...)` and `Anonymizer(...)` each have `apply(gets)`; `generate(...)`
+yields GETs in order. Random choices depend on the seed and on hashes only: the same input gives the same
+output, whatever the batch boundaries.
 
-Thinning distorts. By object: what is kept keeps its own rhythm and reuse distances shrink with the rate,
-popularity stays, but one very popular object is kept whole or lost whole. By client: each client's order
-stays, popularity of the rare is cut. By GET: rates and popularity stay, but reuse distances in time grow, and
-what is wanted once is over-represented.
+Thinning distorts a trace. By object: the kept objects keep their request times and the popularity
+distribution is preserved, reuse distances shrink with the rate, but a single very popular object is kept or
+lost as a whole. By client: the order of each client's GETs is kept, but rare objects become less popular. By
+GET: relative rates and popularity are kept, but the time between reuses grows, and objects requested once are
+over-represented.
 """
 
 from __future__ import annotations
@@ -19,126 +20,140 @@
 
 import numpy as np
 
-from damsonstream.traces.gets import GET, READ, WRITE, fraction, mixed
+from damsonstream.traces.gets import GET, READ, WRITE, fraction, mix64
 
-US = 1_000_000
-BY = ("object", "client", "get")
+US_PER_S = 1_000_000
+BY = ("object", "client", "get")  # what thinning keeps or drops as a whole
 
 
 @dataclass(slots=True)
 class Thinning:
+    """Keeps a share of the GETs, chosen by object, by client or by GET."""
+
     share: float
     by: str
     seed: int = 1
-    count: int = 0  # GETs seen so far: which GET it is decides where it is thinned by GET
+    count: int = 0  # GETs so far; thinning by GET hashes the position of a GET
 
     def apply(self, gets: np.ndarray) -> np.ndarray:
-        places = np.arange(self.count, self.count + len(gets), dtype=np.uint64)
+        positions = np.arange(self.count, self.count + len(gets), dtype=np.uint64)
         self.count += len(gets)
-        values = places if self.by == "get" else gets[self.by]
-        return gets[fraction(mixed(values, 100 + self.seed)) < self.share]
+        values = positions if self.by == "get" else gets[self.by]
+        return gets[fraction(mix64(values, 100 + self.seed)) < self.share]
 
 
 @dataclass(slots=True, frozen=True)
 class Scaling:
-    """Times `1 / speed` as long; order and popularity stay."""
+    """Divides all times by `speed`; keeps order and popularity."""
 
     speed: float
 
     def apply(self, gets: np.ndarray) -> np.ndarray:
-        made = gets.copy()
-        made["time"] = np.floor(gets["time"] / self.speed).astype(np.int64)
-        return made
+        scaled = gets.copy()
+        scaled["time"] = np.floor(gets["time"] / self.speed).astype(np.int64)
+        return scaled
 
 
 class Renaming:
-    """Objects, clients and tenants under new names, which only the salt leads back to: keyed BLAKE2b, so that
-    who knows the keys of a published trace can't find them again by hashing them."""
+    """Replaces objects, clients and tenants by pseudonyms: BLAKE2b keyed with a salt, so that the keys of a
+    published trace can't be recognized by hashing them without the salt."""
 
     def __init__(self, salt: bytes) -> None:
         self.salt = blake2b(salt, digest_size=32).digest()
-        self.known: dict[tuple[str, int], int] = {}  # of the latest objects; bounded
-
-    def name(self, kind: str, value: int, size: int) -> int:
-        found = self.known.get((kind, value))
-        if found is None:
-            told = blake2b(value.to_bytes(8, "little"), digest_size=size, key=self.salt, person=kind.encode())
-            found = self.known[kind, value] = int.from_bytes(told.digest(), "little")
-            if len(self.known) > 500_000:
-                for old in list(self.known)[:250_000]:
-                    del self.known[old]
-        return found
+        self.cache: dict[tuple[str, int], int] = {}  # pseudonyms of the latest values; bounded
+
+    def pseudonym(self, kind: str, value: int, size: int) -> int:
+        pseudonym = self.cache.get((kind, value))
+        if pseudonym is None:
+            keyed_hash = blake2b(
+                value.to_bytes(8, "little"), digest_size=size, key=self.salt, person=kind.encode()
+            )
+            pseudonym = self.cache[kind, value] = int.from_bytes(keyed_hash.digest(), "little")
+            if len(self.cache) > 500_000:
+                for old in list(self.cache)[:250_000]:
+                    del self.cache[old]
+        return pseudonym
 
     def apply(self, gets: np.ndarray) -> np.ndarray:
-        made = gets.copy()
+        renamed = gets.copy()
         for kind, size in (("object", 8), ("client", 8), ("tenant", 4)):
-            values, which = np.unique(gets[kind], return_inverse=True)
-            names = [self.name(kind, int(value), size) for value in values.tolist()]
-            made[kind] = np.array(names, made[kind].dtype)[which]
+            values, indices = np.unique(gets[kind], return_inverse=True)
+            names = [self.pseudonym(kind, int(value), size) for value in values.tolist()]
+            renamed[kind] = np.array(names, renamed[kind].dtype)[indices]
         groups = int(gets["group"].max(initial=0)) + 1
-        made["group"] = made["object"] % np.uint64(max(64, groups))
-        return made
+        renamed["group"] = renamed["object"] % np.uint64(max(64, groups))
+        return renamed
 
 
 @dataclass(slots=True, frozen=True)
 class Character:
-    """What a synthetic trace is like."""
+    """Parameters of a synthetic trace."""
 
     gets: int = 100_000
-    rate: float = 1000.0  # GETs a second, the mean
+    rate: float = 1000.0  # mean GETs per second
     objects: int = 10_000
-    alpha: float = 0.9  # of Zipf's law
+    alpha: float = 0.9  # exponent of Zipf's law
     clients: int = 500
-    once: float = 0.0  # share of GETs for objects that are wanted this once
-    writes: float = 0.0
+    once: float = 0.0  # share of GETs for objects that are requested only once
+    writes: float = 0.0  # share of GETs that are writes
     median_size: float = 8_000.0
     spread: float = 1.2  # sigma of log-normal sizes
-    burst: float = 1.0  # times the mean rate within bursts, 1: none
+    burst: float = 1.0  # rate within bursts, as a multiple of the mean; 1: no bursts
     burst_every: float = 20.0  # seconds
-    burst_lasts: float = 3.0
-    crowd_at: float = 0.0  # seconds after which a crowd wants one new object, 0: never
-    crowd_share: float = 0.5  # of the GETs while it lasts
-    crowd_lasts: float = 10.0
+    burst_lasts: float = 3.0  # seconds
+    crowd_at: float = 0.0  # seconds until a flash crowd requests one new object; 0: never
+    crowd_share: float = 0.5  # of the GETs during the flash crowd
+    crowd_lasts: float = 10.0  # seconds
 
 
-def generate(told: Character, seed: int, batch: int = 1 << 16) -> Iterator[np.ndarray]:
-    """GETs in order: a Poisson process whose rate rises in bursts, objects by Zipf's law, a crowd that opens
-    one new object."""
-    chance = np.random.Generator(np.random.PCG64(seed))
-    weights = np.cumsum(np.arange(1, told.objects + 1, dtype=np.float64) ** -told.alpha)
+def generate(profile: Character, seed: int, batch: int = 1 << 16) -> Iterator[np.ndarray]:
+    """Yields GETs in time order: Poisson arrivals with a higher rate in bursts, objects by Zipf's law, and a
+    flash crowd for one new object."""
+    rng = np.random.Generator(np.random.PCG64(seed))
+    weights = np.cumsum(np.arange(1, profile.objects + 1, dtype=np.float64) ** -profile.alpha)
     weights /= weights[-1]
-    share = min(0.9, told.burst_lasts / told.burst_every) if told.burst > 1 else 0.0
-    calm = told.rate * max(0.05, (1 - share * told.burst) / (1 - share)) if share else told.rate
-    at, made = 0.0, 0
-    while made < told.gets:
-        count = min(batch, told.gets - made)
-        gaps = chance.exponential(1.0, count)
+    burst_share = min(0.9, profile.burst_lasts / profile.burst_every) if profile.burst > 1 else 0.0
+    base_rate = (
+        profile.rate * max(0.05, (1 - burst_share * profile.burst) / (1 - burst_share))
+        if burst_share
+        else profile.rate
+    )
+    now, generated = 0.0, 0
+    while generated < profile.gets:
+        count = min(batch, profile.gets - generated)
+        gaps = rng.exponential(1.0, count)
         times = np.empty(count)
-        if share:
-            for place, gap in enumerate(gaps.tolist()):  # each gap in the time of the rate that holds there
-                rate = told.rate * told.burst if at % told.burst_every < told.burst_lasts else calm
-                at += gap / rate
-                times[place] = at
+        if burst_share:
+            for index, gap in enumerate(gaps.tolist()):  # each gap is scaled by the rate at that time
+                rate = (
+                    profile.rate * profile.burst
+                    if now % profile.burst_every < profile.burst_lasts
+                    else base_rate
+                )
+                now += gap / rate
+                times[index] = now
         else:
-            times = at + np.cumsum(gaps / told.rate)
-            at = float(times[-1])
-        ranks = np.searchsorted(weights, chance.random(count))
-        objects = mixed(ranks.astype(np.uint64), seed + 7)
-        single = chance.random(count) < told.once
-        fresh = np.arange(made, made + count, dtype=np.uint64) + np.uint64(1 << 40)
-        objects = np.where(single, mixed(fresh, seed + 8), objects)
-        if told.crowd_at:
-            within = (times >= told.crowd_at) & (times < told.crowd_at + told.crowd_lasts)
-            crowd = within & (chance.random(count) < told.crowd_share)
-            objects = np.where(crowd, mixed(np.array([1 << 50], np.uint64), seed)[0], objects)
+            times = now + np.cumsum(gaps / profile.rate)
+            now = float(times[-1])
+        ranks = np.searchsorted(weights, rng.random(count))
+        objects = mix64(ranks.astype(np.uint64), seed + 7)
+        requested_once = rng.random(count) < profile.once
+        unique_ids = np.arange(generated, generated + count, dtype=np.uint64) + np.uint64(1 << 40)
+        objects = np.where(requested_once, mix64(unique_ids, seed + 8), objects)
+        if profile.crowd_at:
+            in_crowd_period = (times >= profile.crowd_at) & (times < profile.crowd_at + profile.crowd_lasts)
+            crowd = in_crowd_period & (rng.random(count) < profile.crowd_share)
+            objects = np.where(crowd, mix64(np.array([1 << 50], np.uint64), seed)[0], objects)
         gets = np.zeros(count, GET)
-        gets["time"] = (times * US).astype(np.int64)
+        gets["time"] = (times * US_PER_S).astype(np.int64)
         gets["object"] = objects
-        gets["client"] = mixed(chance.integers(0, told.clients, count).astype(np.uint64), seed + 9)
-        one, other = fraction(mixed(objects, seed + 10)), fraction(mixed(objects, seed + 11))
-        normal = np.sqrt(-2 * np.log(one)) * np.cos(2 * math.pi * other)
-        gets["size"] = np.clip(told.median_size * np.exp(told.spread * normal), 1, 1 << 30).astype(np.int64)
+        gets["client"] = mix64(rng.integers(0, profile.clients, count).astype(np.uint64), seed + 9)
+        uniform_a, uniform_b = fraction(mix64(objects, seed + 10)), fraction(mix64(objects, seed + 11))
+        normal = np.sqrt(-2 * np.log(uniform_a)) * np.cos(2 * math.pi * uniform_b)
+        gets["size"] = np.clip(profile.median_size * np.exp(profile.spread * normal), 1, 1 << 30).astype(
+            np.int64
+        )
         gets["group"] = objects % np.uint64(64)
-        gets["kind"] = np.where(chance.random(count) < told.writes, WRITE, READ)
-        made += count
+        gets["kind"] = np.where(rng.random(count) < profile.writes, WRITE, READ)
+        generated += count
         yield gets
--- a/damsonstream/traces/source.py
+++ b/damsonstream/traces/source.py
@@ -1,8 +1,8 @@
-"""Bytes of a trace's file: plain, gzip or zstd, as far as they can be read.
+"""Reads the bytes of a trace file, which may be plain, gzip or zstd, as far as they are readable.
 
-How it is called: `blocks(path, faults)` yields blocks of bytes; where an archive is cut off or spoilt, what
-came before is yielded, and a sentence is put into `faults`. What a file is, its first bytes tell: names of
-published traces are not to be relied on.
+Usage: `blocks(path, faults)` yields blocks of bytes. If an archive is truncated or corrupt, the data before
+that point is yielded and a message is appended to `faults`. The compression is detected from the first bytes
+of the file, because the file names of published traces are unreliable.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 import zstandard
 
-BLOCK = (
-    4 << 20
-)  # bytes of plain text that are parsed at once: larger ones are no faster, and held several times over
-PACKED = (
-    1 << 16
-)  # bytes of an archive at once: what it unfolds to is bounded by its method, a thousand times as much
+# Bytes of plain text that are parsed at once. Larger blocks are no faster, and several are held in memory.
+BLOCK_SIZE = 4 << 20
+# Compressed bytes that are read at once. They can expand about a thousandfold, which bounds the memory.
+PACKED_READ_SIZE = 1 << 16
 GZIP, ZSTD = b"\x1f\x8b", b"\x28\xb5\x2f\xfd"
 
 
-class Unpacker(Protocol):
+class Decompressor(Protocol):
+    """The common interface of zlib and zstandard decompressors."""
+
     @property
     def eof(self) -> bool: ...
     @property
@@ -31,7 +31,8 @@
     def decompress(self, data: bytes, /) -> bytes: ...
 
 
-def unpacker(head: bytes) -> Unpacker | None:
+def make_decompressor(head: bytes) -> Decompressor | None:
+    """Returns a decompressor for a file that begins with `head`, or None for plain text."""
     if head.startswith(GZIP):
         return zlib.decompressobj(31)
     if head == ZSTD:
@@ -39,46 +40,47 @@
     return None
 
 
-def unpacked(stream: IO[bytes], head: bytes, name: str, faults: list[str]) -> Iterator[bytes]:
-    """Members or frames one after the other, as far as they hold."""
-    one = unpacker(head)
-    assert one is not None
-    begun = False
+def decompressed(stream: IO[bytes], head: bytes, name: str, faults: list[str]) -> Iterator[bytes]:
+    """Yields the contents of all gzip members or zstd frames, up to the first error."""
+    decompressor = make_decompressor(head)
+    assert decompressor is not None
+    started = False
     try:
-        while data := stream.read(PACKED):
+        while data := stream.read(PACKED_READ_SIZE):
             while data:
-                if one.eof:
+                if decompressor.eof:
                     head = data[:4]
-                    one = unpacker(head)
-                    if one is None:
+                    decompressor = make_decompressor(head)
+                    if decompressor is None:
                         faults.append(f"{name}: bytes behind the archive's end are left out")
                         return
-                begun = True
-                yield one.decompress(data)
-                data = one.unused_data if one.eof else b""
+                started = True
+                yield decompressor.decompress(data)
+                data = decompressor.unused_data if decompressor.eof else b""
     except (zlib.error, zstandard.ZstdError, OSError) as fault:
         faults.append(f"{name}: the archive is spoilt: {fault}")
         return
-    if begun and not one.eof:
+    if started and not decompressor.eof:
         faults.append(f"{name}: the archive is cut off")
 
 
-def blocks(path: Path, faults: list[str], size: int = BLOCK) -> Iterator[bytes]:
+def blocks(path: Path, faults: list[str], size: int = BLOCK_SIZE) -> Iterator[bytes]:
+    """Yields the plain bytes of a file in blocks of at most `size`."""
     with path.open("rb") as stream:
         head = stream.read(4)
         stream.seek(0)
-        if unpacker(head) is None:
+        if make_decompressor(head) is None:
             while data := stream.read(size):
                 yield data
             return
-        held: list[bytes] = []
+        parts: list[bytes] = []
         count = 0
-        for part in unpacked(stream, head, path.name, faults):
-            held.append(part)
+        for part in decompressed(stream, head, path.name, faults):
+            parts.append(part)
             count += len(part)
             if count >= size:
-                whole, held, count = b"".join(held), [], 0
-                for at in range(0, len(whole), size):
-                    yield whole[at : at + size]
+                data, parts, count = b"".join(parts), [], 0
+                for at in range(0, len(data), size):
+                    yield data[at : at + size]
         if count:
-            yield b"".join(held)
+            yield b"".join(parts)
