--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -72,7 +72,7 @@
                 f"{peak_mb:5.0f} MB",
                 flush=True,
             )
-        print(f"native form: {Path(native).stat().st_size / rows:.1f} bytes per GET")
+        print(f"native format: {Path(native).stat().st_size / rows:.1f} bytes per GET")
 
 
 def replay(rates: list[int], seconds: float) -> None:
--- a/damsonstream/replay/account.py
+++ b/damsonstream/replay/account.py
@@ -103,6 +103,7 @@
             }
             for name, one in self.services.items()
         }
+        # keys of the stored format: "low" is `first_open`, "beyond" is `ended_ahead`
         state = {
             "form": FORMAT_VERSION,
             "trace": self.trace,
--- a/damsonstream/traces/digest.py
+++ b/damsonstream/traces/digest.py
@@ -14,6 +14,7 @@
 
 from damsonstream.traces.gets import mix64
 
+# The GETs of one time: their number, and the sums of two hashes of each.
 TIME_GROUP = np.dtype([("time", "<i8"), ("count", "<u8"), ("one", "<u8"), ("other", "<u8")])
 
 
@@ -22,9 +23,8 @@
 
     def __init__(self) -> None:
         self.hash_state = blake2b(digest_size=16)
-        self.last_group = np.zeros(
-            0, TIME_GROUP
-        )  # GETs of the latest time; the next batch may have more of them
+        # the GETs of the latest time; the next batch may have more of them
+        self.last_group = np.zeros(0, TIME_GROUP)
         self.count = 0
 
     def add(self, gets: np.ndarray) -> None:
--- a/damsonstream/traces/gets.py
+++ b/damsonstream/traces/gets.py
@@ -47,8 +47,8 @@
     "time-jump",
     "cut-line",
 )
-MENDED_CODES = {rule: place + 1 for place, rule in enumerate(MENDED)}
-SKIPPED_CODES = {reason: place + 128 for place, reason in enumerate(SKIPPED)}
+MENDED_CODES = {rule: index + 1 for index, rule in enumerate(MENDED)}
+SKIPPED_CODES = {reason: index + 128 for index, reason in enumerate(SKIPPED)}
 MAX_SIZE = 1 << 50  # bytes; a size above a petabyte is an error in the trace
 MAX_TIME = 1 << 62  # microseconds
 INTEGER_PATTERN = r"^[+-]?[0-9]{1,18}$"
--- a/damsonstream/traces/guard.py
+++ b/damsonstream/traces/guard.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-MAX_LINE = 64 << 10  # bytes; the longest rows in published traces have a few KB
+MAX_LINE = 64 << 10  # bytes; rows of published traces have a few KB at most, longer lines are rejected
 NEWLINE, CARRIAGE_RETURN, QUOTE = 10, 13, 34
 
 
@@ -25,9 +25,8 @@
         self.partial_line = b""  # the start of an incomplete line; bounded by `max_line`
         self.in_long_line = False  # inside a line that is too long, of which the rest is dropped
         self.last_line = 0  # number of the last line that was returned, from 1
-        self.rejected: list[
-            tuple[int, str, bytes]
-        ] = []  # line, reason, start of the line; the caller removes them
+        # (line, reason, start of the line); the caller removes them
+        self.rejected: list[tuple[int, str, bytes]] = []
         self.unterminated = False  # whether the file ended without a newline
 
     def feed(self, block: bytes) -> bytes:
--- a/damsonstream/traces/page.py
+++ b/damsonstream/traces/page.py
@@ -117,6 +117,7 @@
     environment = Environment(loader=PackageLoader("damsonstream.traces", "."), autoescape=True,
                               undefined=StrictUndefined, trim_blocks=True, lstrip_blocks=True)  # fmt: skip
     environment.filters["plain"] = plain
+    # `whole` and `told` are the names of the template's variables
     return environment.get_template("page.html").render(
         whole=summary,
         told=stats_summary,
--- a/damsonstream/traces/stats.py
+++ b/damsonstream/traces/stats.py
@@ -59,8 +59,11 @@
 
 
 def fit_zipf(counts: np.ndarray, rate: float) -> dict[str, float]:
-    """The slope of popularity over rank, on logarithms, and its standard error: least squares over ranks
-    spaced evenly on a logarithmic scale, down to objects wanted five times, below which counts are steps."""
+    """Fits Zipf's law: least squares of log(count) over log(rank), with the standard error of the slope.
+
+    Uses ranks evenly spaced on a logarithmic scale, and only objects with at least five requests, because the
+    counts of rarer objects form steps. Returns an empty dictionary if there are too few objects.
+    """
     ordered = np.sort(counts)[::-1]
     ordered = ordered[ordered >= 5]
     if len(ordered) < 16:
@@ -88,9 +91,8 @@
         self.total_bytes = 0
         self.largest = 0
         self.reuse = ReuseEstimator()
-        self.minute_hashes: dict[
-            int, np.ndarray
-        ] = {}  # hashes of sampled objects, by minute; only the latest minutes
+        # hashes of sampled objects, by minute; only the latest minutes
+        self.minute_hashes: dict[int, np.ndarray] = {}
         self.working_sets: list[tuple[int, float]] = []  # (minute, objects requested in it)
 
     def add(self, gets: np.ndarray) -> None:
@@ -238,4 +240,4 @@
         if not len(ordered):
             return []
         ranks = np.unique(np.geomspace(1, len(ordered), 200).astype(np.int64)) - 1
-        return [((place + 1) / self.object_counts.rate, int(ordered[place])) for place in ranks.tolist()]
+        return [((rank + 1) / self.object_counts.rate, int(ordered[rank])) for rank in ranks.tolist()]
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -41,17 +41,17 @@
 US_PER_S = 1_000_000
 
 
-def reading(paths: list[Path], form: str, **how: Any) -> tuple[Reading, np.ndarray]:
-    found = Reading(paths, formats.load(form), **how)
-    parts = list(found.batches())
-    return found, np.concatenate(parts) if parts else np.zeros(0, GET)
+def read_all(paths: list[Path], format_name: str, **options: Any) -> tuple[Reading, np.ndarray]:
+    reader = Reading(paths, formats.load(format_name), **options)
+    parts = list(reader.batches())
+    return reader, np.concatenate(parts) if parts else np.zeros(0, GET)
 
 
 class Fixtures(TraceCase):
     def test_known_faults_in_fixtures_are_counted(self) -> None:
         lines = list[str]()
         for path in sorted(FIXTURES.iterdir()):
-            reader, gets = reading([path], path.stem)
+            reader, gets = read_all([path], path.stem)
             summary = reader.told()
             lines.append(
                 f"{path.name}: rows {summary['rows']}, used {summary['used']}, "
@@ -69,7 +69,7 @@
     def test_digest_does_not_depend_on_blocks_compression_or_shards(self) -> None:
         for path in sorted(FIXTURES.iterdir()):
             data, format_name = path.read_bytes(), path.stem
-            expected_reader, expected_gets = reading([path], format_name)
+            expected_reader, expected_gets = read_all([path], format_name)
             header = data[: data.find(b"\n") + 1] if expected_reader.format.header else b""
             lines = data[len(header) :].splitlines(keepends=True)
             with tempfile.TemporaryDirectory() as holder:
@@ -88,7 +88,7 @@
                         (folder / f"{at}-{index}").write_bytes(header + b"".join(part))
                     cases.append(([folder / f"{at}-0", folder / f"{at}-1"], 150))
                 for paths, block in cases:
-                    reader, gets = reading(paths, format_name, block_size=block, shards="follow")
+                    reader, gets = read_all(paths, format_name, block_size=block, shards="follow")
                     case = f"{path.name} in blocks of {block}, {[p.name for p in paths]}"
                     self.assertEqual(reader.told()["digest"], expected_reader.told()["digest"], case)
                     self.assertEqual(reader.tally.fates, expected_reader.tally.fates, case)
@@ -102,8 +102,8 @@
             (folder / "whole").write_text("\n".join(rows) + "\n")
             for index in range(3):
                 (folder / f"s{index}").write_text("\n".join(rows[index::3]) + "\n")
-            expected, _ = reading([folder / "whole"], "cache-requests")
-            reader, gets = reading([folder / f"s{n}" for n in range(3)], "cache-requests", block_size=500)
+            expected, _ = read_all([folder / "whole"], "cache-requests")
+            reader, gets = read_all([folder / f"s{n}" for n in range(3)], "cache-requests", block_size=500)
             self.assertTrue(reader.merged)
             self.assertTrue((np.diff(gets["time"]) >= 0).all())
             self.assertEqual(reader.told()["digest"], expected.told()["digest"])
@@ -128,12 +128,12 @@
                     stream.write(row * 5_000)
                 stream.write(b"5," + b"x" * 10_000_000 + b",1,1,1,get,0\n")
                 stream.write(row * 500_000)
-            reader, gets = reading([path], "cache-requests")
+            reader, gets = read_all([path], "cache-requests")
         self.assertEqual(len(gets), 1_000_000)
         self.assertEqual(reader.told()["skipped"], {"too-long": 1})
 
 
-class AnyBytes(unittest.TestCase):
+class ArbitraryInput(unittest.TestCase):
     """No input raises an error in the reader, and the counts add up to the number of lines."""
 
     @given(
@@ -158,7 +158,7 @@
                 b" " + data if data[:2] == b"\x1f\x8b" or data[:4] == b"\x28\xb5\x2f\xfd" else data
             )
             data = path.read_bytes()
-            reader, gets = reading([path], "cache-requests", block_size=block)
+            reader, gets = read_all([path], "cache-requests", block_size=block)
         summary = reader.told()
         plain = data.replace(b"\r\n", b"\n")
         expected = plain.count(b"\n") + (
@@ -191,8 +191,8 @@
         )
 
 
-class Times(TraceCase):
-    def play(self, times: list[int], size: int = 1000, **rule: Any) -> tuple[list[int], list[str]]:
+class TimeOrder(TraceCase):
+    def reorder(self, times: list[int], size: int = 1000, **rule: Any) -> tuple[list[int], list[str]]:
         buffer = order.ReorderBuffer(order.Rule(**rule))
         out: list[int] = []
         fates: list[str] = []
@@ -222,14 +222,14 @@
             "the last row jumps": ([10, 11, day], {}),
         }
         for case, (times, rule) in cases.items():
-            out, fates = self.play(times, **rule)
+            out, fates = self.reorder(times, **rule)
             lines.append(f"{case}: {times} gives {out}, {[f for f in fates if f != 'used']}")
         self.check("trace-times", lines)
 
     @given(st.lists(st.integers(0, 60), max_size=60), st.integers(1, 60), st.sampled_from(["clamp", "skip"]))
     def test_order_does_not_depend_on_batches(self, times: list[int], size: int, late: str) -> None:
-        output, fates = self.play(times, late=late)
-        self.assertEqual((output, fates), self.play(times, size, late=late))
+        output, fates = self.reorder(times, late=late)
+        self.assertEqual((output, fates), self.reorder(times, size, late=late))
         self.assertEqual(output, sorted(output))
         self.assertEqual(
             len(output),
@@ -237,9 +237,9 @@
         )
 
 
-class Shapes(TraceCase):
-    def trace(self, **character: Any) -> np.ndarray:
-        return np.concatenate(list(shape.generate(shape.Character(**{"gets": 30_000, **character}), 5)))
+class Transforms(TraceCase):
+    def trace(self, **profile: Any) -> np.ndarray:
+        return np.concatenate(list(shape.generate(shape.Character(**{"gets": 30_000, **profile}), 5)))
 
     def test_sampled_miss_ratios_are_near_the_exact_ones(self) -> None:
         for alpha in (0.7, 1.3):
@@ -373,9 +373,9 @@
         with tempfile.TemporaryDirectory() as holder:
             path = Path(holder) / "a"
             path.write_text("".join(f"{n},k{n % 5},1,,c,get,0\n" for n in range(100)))
-            _, drawn = reading([path], "cache-requests")
-            _, other = reading([path], "cache-requests", options=Options(seed=2))
-            _, unknown = reading([path], "cache-requests", options=Options(draw_sizes=False))
+            _, drawn = read_all([path], "cache-requests")
+            _, other = read_all([path], "cache-requests", options=Options(seed=2))
+            _, unknown = read_all([path], "cache-requests", options=Options(draw_sizes=False))
         self.assertEqual([len(set(drawn["size"][n::5].tolist())) for n in range(5)], [1] * 5)
         self.assertNotEqual(drawn["size"].tolist(), other["size"].tolist())
         self.assertEqual(set(unknown["size"].tolist()), {-1})
@@ -495,9 +495,9 @@
             start_new_session=True,
         )
 
-    def wait(self, holds: Callable[[], bool]) -> None:
+    def wait(self, condition: Callable[[], bool]) -> None:
         until = time.monotonic() + 20
-        while not holds():
+        while not condition():
             self.assertLess(time.monotonic(), until)
             time.sleep(0.02)
 
