--- a/damsonstream/replay/play.py
+++ b/damsonstream/replay/play.py
@@ -1,7 +1,7 @@
 """Runs a replay, either against running gateways or against a fleet between stand-ins started for it.
 
-Usage: `replay_to_gateways(options, addresses)` and `replay_with_fleet(options, gateways, folder)` run to the
-end and return plain data.
+Usage: `run_on_gateways(options, addresses)` and `run_on_fleet(options, gateways, folder)` run to the end and
+return plain data.
 """
 
 from __future__ import annotations
--- a/damsonstream/traces/native.py
+++ b/damsonstream/traces/native.py
@@ -104,7 +104,7 @@
         except (pa.ArrowException, OSError, KeyError, ValueError) as fault:
             raise Spoilt(f"{path.name} is not a native trace, or is truncated: {fault}") from fault
         if self.file.schema_arrow != SCHEMA or self.file.metadata.num_rows != self.about.get("rows"):
-            raise Spoilt(f"{path.name} has other columns or another number of rows than its metadata states")
+            raise Spoilt(f"{path.name} has other columns or another number of rows than stated")
         self.rows = int(self.file.metadata.num_rows)
 
     def row_group_spans(self) -> list[tuple[int, int, int]]:
--- a/damsonstream/traces/shape.py
+++ b/damsonstream/traces/shape.py
@@ -1,6 +1,6 @@
 """Transforms traces (sampling, time scaling, anonymization) and generates synthetic ones. No I/O.
 
-Usage: `Thinning(...)`, `TimeScaling(...)` and `Anonymizer(...)` each have `apply(gets)`; `generate(...)`
+Usage: `Thinning(...)`, `Scaling(...)` and `Anonymizer(...)` each have `apply(gets)`; `generate(...)`
 yields GETs in order. Random choices depend on the seed and on hashes only: the same input gives the same
 output, whatever the batch boundaries.
 
--- a/damsonstream/traces/tally.py
+++ b/damsonstream/traces/tally.py
@@ -61,9 +61,7 @@
 
     def counts_between(self, low: int, high: int) -> dict[str, int]:
         """Returns the counts of fates with a code from `low` up to, not including, `high`."""
-        return {
-            name(fate): count for fate, count in sorted(self.fates.items()) if low <= fate < high and count
-        }
+        return {name(fate): rows for fate, rows in sorted(self.fates.items()) if low <= fate < high and rows}
 
     @property
     def gets(self) -> int:
@@ -77,7 +75,13 @@
             "skipped": self.counts_between(128, 256),
             "faults": self.faults,
             "examples": [
-                {"fate": name(fate), "skipped": fate >= 128, "file": e.file, "line": e.line, "text": e.text}
+                {
+                    "fate": name(fate),
+                    "skipped": fate >= 128,
+                    "file": e.file,
+                    "line": e.line,
+                    "text": e.text,
+                }
                 for fate, kept in sorted(self.examples.items())
                 for e in kept
             ],
