--- a/damsonstream/traces/tally.py
+++ b/damsonstream/traces/tally.py
@@ -61,7 +61,11 @@
 
     def counts_between(self, low: int, high: int) -> dict[str, int]:
         """Returns the counts of fates with a code from `low` up to, not including, `high`."""
-        return {name(fate): rows for fate, rows in sorted(self.fates.items()) if low <= fate < high and rows}
+        return {
+            name(fate): row_count
+            for fate, row_count in sorted(self.fates.items())
+            if low <= fate < high and row_count
+        }
 
     @property
     def gets(self) -> int:
