--- a/damsonstream/traces/order.py
+++ b/damsonstream/traces/order.py
@@ -33,8 +33,8 @@
 class Rule:
     """How to handle times that are out of order."""
 
-    window: int = WINDOW
-    jump: int = JUMP
+    window: int = WINDOW  # microseconds
+    jump: int = JUMP  # microseconds
     late: str = "clamp"  # or "skip"
     steps: str = "rebase"  # or "late": all rows after a clock step backward are late
 
--- a/damsonstream/traces/reader.py
+++ b/damsonstream/traces/reader.py
@@ -185,9 +185,8 @@
 
     block: bytes
     first_line: int
-    texts: dict[int, bytes] = field(
-        default_factory=dict
-    )  # start of each line that was blanked out in the block
+    # the start of each line that was blanked out in the block, by line number
+    texts: dict[int, bytes] = field(default_factory=dict)
 
     def __call__(self, line: int) -> str:
         if line in self.texts:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -463,9 +463,8 @@
             Account.load(bytes(data), "t")
         except Unusable:
             return
-        self.assertEqual(
-            int(bytes(data[:8]), 16), int(account.dump()[:8], 16)
-        )  # the same checksum in another notation, such as upper case
+        # accepted only if it is the same checksum in another notation, such as upper case
+        self.assertEqual(int(bytes(data[:8]), 16), int(account.dump()[:8], 16))
 
 
 class Replays(unittest.TestCase):
