--- a/damsonstream/__init__.py
+++ b/damsonstream/__init__.py
@@ -1,2 +1,2 @@
-"""damsonstream: a router before tiers of caches with one origin behind them."""
+"""damsonstream: a router (gateway) in front of tiers of caches with one origin."""
 __version__ = "0.4.0"
--- a/damsonstream/program/cli.py
+++ b/damsonstream/program/cli.py
@@ -1,7 +1,7 @@
-"""The command line: a gateway's own commands go to `program/own.py`, all others to `program/commands`.
+"""The command line: the gateway's own commands are in `program/own.py`, all others in `program/commands`.
 
-How it is called: `main(arguments)` returns the exit code. `serve` is started hundreds of times in small
-memories, and click costs 3 MB and 40 ms of each start: it is loaded for the tools only.
+Usage: `main(arguments)` returns the exit code. `serve` runs in hundreds of processes with little memory, and
+click adds 3 MB and 40 ms to each start, so it is only imported for the tools.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Runs one command and returns its exit code; the arguments default to those of the process."""
     arguments = sys.argv[1:] if arguments is None else arguments
     if arguments and arguments[0] in own.COMMANDS:
         return own.run(arguments)
--- a/damsonstream/program/commands/completion.py
+++ b/damsonstream/program/commands/completion.py
@@ -1,4 +1,4 @@
-"""`damsonstream completion SHELL`: prints the script that makes a shell complete the commands."""
+"""`damsonstream completion SHELL`: prints the completion script for a shell."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 @click.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
-    """Print the completion script of SHELL.
+    """Print the completion script for SHELL.
 
-    For bash, once: damsonstream completion bash > ~/.local/share/bash-completion/completions/damsonstream
+    For bash: damsonstream completion bash > ~/.local/share/bash-completion/completions/damsonstream
     """
-    made = get_completion_class(shell)
-    assert made is not None
-    click.echo(made(root.damsonstream, {}, "damsonstream", "_DAMSONSTREAM_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None
+    click.echo(completion_class(root.damsonstream, {}, "damsonstream", "_DAMSONSTREAM_COMPLETE").source())
--- a/damsonstream/program/commands/demo.py
+++ b/damsonstream/program/commands/demo.py
@@ -1,4 +1,4 @@
-"""`damsonstream demo`: a small fleet in one command, with records and a report at its end."""
+"""`damsonstream demo`: runs a small fleet on this machine, with records and a report at the end."""
 
 from __future__ import annotations
 
@@ -17,89 +17,100 @@
 from damsonstream.demo.verdict import recorded
 from damsonstream.incident import gather as reading
 from damsonstream.program import toollogs
-from damsonstream.program.commands.playing import played
+from damsonstream.program.commands.playing import run_or_exit
 from damsonstream.program.commands.report import put, rendered
 from damsonstream.settings import kdl
 
 
 def listed(context: click.Context, _: click.Parameter, value: bool) -> None:
+    """Callback of `--list`: prints the shipped scenarios and exits."""
     if value and not context.resilient_parsing:
         for name in scenarios.shipped():
-            told = scenarios.load(name)
-            click.echo(f"{name:18} {told.lasts:g} s: {told.about}")
+            loaded = scenarios.load(name)
+            click.echo(f"{name:18} {loaded.lasts:g} s: {loaded.about}")
         context.exit()
 
 
 def progress(play: Play) -> None:
-    counted = Counter(one.outcome or "open" for one in play.front.tries)
-    told = "  ".join(f"{name} {counted[name]}" for name in ("returned", "shed", "errored", "lost", "late"))
+    """Prints one line of progress: the elapsed time, GETs by outcome and the steps of the last second."""
+    outcomes = Counter(one.outcome or "open" for one in play.front.tries)
+    counts = "  ".join(f"{name} {outcomes[name]}" for name in ("returned", "shed", "errored", "lost", "late"))
     now = max(0.0, play.world.now())
-    news = [f"{s.does} {s.to}".strip() for s in play.scenario.steps if now - 1 < s.at <= now]
-    click.echo(f"{now:5.1f} s  GETs {len(play.front.tries):5}  {told}  {'; '.join(news)}".rstrip())
+    recent = [f"{s.does} {s.to}".strip() for s in play.scenario.steps if now - 1 < s.at <= now]
+    click.echo(f"{now:5.1f} s  GETs {len(play.front.tries):5}  {counts}  {'; '.join(recent)}".rstrip())
 
 
 @click.command()
 @click.option("--scenario", "name", default="purge-slow-vault", show_default=True,
-              help="One of the shipped ones, or a KDL file of your own.")  # fmt: skip
+              help="A shipped scenario or a KDL file.")  # fmt: skip
 @click.option("--list", is_flag=True, expose_value=False, is_eager=True, callback=listed,
-              help="Name the shipped scenarios.")  # fmt: skip
+              help="List the shipped scenarios.")  # fmt: skip
 @click.option("--seconds", type=click.FloatRange(scenarios.LEAST, scenarios.MOST),
-              help="Play the script over so long a time.")  # fmt: skip
-@click.option("--records", type=click.Path(path_type=Path, file_okay=False), help="Where records are left.")
-@click.option("--report", type=click.Path(path_type=Path, dir_okay=False), help="Where the HTML report goes.")
+              help="Stretch or compress the scenario to this duration.")  # fmt: skip
+@click.option("--records", type=click.Path(path_type=Path, file_okay=False), help="Folder for the records.")
+@click.option("--report", type=click.Path(path_type=Path, dir_okay=False), help="File for the HTML report.")
 @click.option("--json", "json_file", type=click.Path(path_type=Path, dir_okay=False),
-              help="Where the report and its check go as JSON.")  # fmt: skip
-@click.option("--once", is_flag=True, help="Plain lines of progress, no console.")
-@click.option("--seed", default=1, show_default=True, help="Of all chance in the play.")
+              help="File for the report and its check, as JSON.")  # fmt: skip
+@click.option("--once", is_flag=True, help="Print plain progress lines, without the console.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the random number generators.")
 def demo(
     name: str, seconds: float | None, records: Path | None, report: Path | None, json_file: Path | None,
     once: bool, seed: int,
 ) -> int:  # fmt: skip
     """Start a small fleet on this machine and show what happens to it.
 
-    Gateways are real ones; caches, hubs, vault, bulletin and viewers are stand-ins on loopback. At the end
-    the records are told as a report, and the report is checked against what truly happened. Exit code 0 only
-    if every GET is accounted for, the rules were kept and the report is right.
+    The gateways are real; caches, parents, origin, discovery service and viewers are stand-ins on loopback.
+    At the end a report is made from the records and checked against what really happened. Exit code 0 only
+    if every GET is accounted for, the rules were kept and the report is correct.
     """
     toollogs.begin("warning")
     try:
-        told = scenarios.load(name)
+        scenario = scenarios.load(name)
     except kdl.Fault as fault:
         click.echo(fault, err=True)
         return 2
     if seconds:
-        told = scenarios.scaled(told, seconds)
+        scenario = scenarios.scaled(scenario, seconds)
     folder = Path(tempfile.mkdtemp(prefix="damsonstream-demo-"))
     records = records or folder / "records"
     if records.exists() and any(records.iterdir()):
-        click.echo(f"{records} is not empty: name a new folder with --records.", err=True)
+        click.echo(f"{records} is not empty: give a new folder with --records.", err=True)
         return 2
-    click.echo(f"{told.name}: {told.about}, {told.lasts:g} s")
-    click.echo(f"{told.gateways} gateways, {told.caches} caches, {told.hubs} hubs, a vault; all in {folder}")
+    click.echo(f"{scenario.name}: {scenario.about}, {scenario.lasts:g} s")
+    click.echo(
+        f"{scenario.gateways} gateways, {scenario.caches} caches, {scenario.hubs} parents, an origin; "
+        f"in {folder}"
+    )
     plain = once or not sys.stdout.isatty()
-    truth = played(lambda: run(told, folder, records, seed, plain))
-    return tell(told, records, truth, report or folder / "report.html", json_file)
+    truth = run_or_exit(lambda: run(scenario, folder, records, seed, plain))
+    return present(scenario, records, truth, report or folder / "report.html", json_file)
 
 
-def run(told: scenarios.Scenario, folder: Path, records: Path, seed: int, plain: bool) -> Truth:
+def run(scenario: scenarios.Scenario, folder: Path, records: Path, seed: int, plain: bool) -> Truth:
+    """Runs the scenario, with progress lines or behind the console; returns what really happened."""
     if plain:
-        return anyio.run(play, told, folder, records, seed, progress, backend_options={"use_uvloop": True})
+        return anyio.run(
+            play, scenario, folder, records, seed, progress, backend_options={"use_uvloop": True}
+        )
     from damsonstream.console.app import Console
     from damsonstream.console.follow import Following
 
     records.mkdir(parents=True, exist_ok=True)
-    ended: list[Truth] = []
+    results: list[Truth] = []
 
-    async def behind() -> None:
-        ended.append(await play(told, folder, records, seed, lambda _: None))
+    async def run_fleet() -> None:
+        results.append(await play(scenario, folder, records, seed, lambda _: None))
 
-    Console(Following(records), live=True, background=behind).run()
-    if not ended:
-        raise KeyboardInterrupt  # the console was left before the play's end
-    return ended[0]
+    Console(Following(records), live=True, background=run_fleet).run()
+    if not results:
+        raise KeyboardInterrupt  # the user quit the console before the scenario ended
+    return results[0]
 
 
-def tell(told: scenarios.Scenario, records: Path, truth: Truth, report: Path, json_file: Path | None) -> int:
+def present(
+    scenario: scenarios.Scenario, records: Path, truth: Truth, report: Path, json_file: Path | None
+) -> int:
+    """Prints the summary, writes the report and returns the exit code."""
     incident = reading.gather(records)
     summary = reading.summary(incident)
     differences = check(summary, recorded(records), truth)
@@ -117,10 +128,10 @@
     for difference in differences:
         click.echo(f"  wrong: {difference}")
     click.echo(
-        "the report agrees with what happened" if not differences else "the report or the play is wrong"
+        "the report agrees with what happened" if not differences else "the report or the run is wrong"
     )
     try:
-        put(report, rendered(incident, "html", f"Demo: {told.name}"))
+        put(report, rendered(incident, "html", f"Demo: {scenario.name}"))
     except OSError as fault:
         click.echo(f"{report} can't be written: {fault.strerror}", err=True)
         return 2
@@ -129,6 +140,11 @@
         happened = [
             {"does": h.step.does, "to": h.step.to, "start": h.start, "end": h.end} for h in truth.steps
         ]
-        whole = {"scenario": told.name, "differences": differences, "happened": happened, "report": summary}
+        whole = {
+            "scenario": scenario.name,
+            "differences": differences,
+            "happened": happened,
+            "report": summary,
+        }
         json_file.write_text(json.dumps(whole, indent=1) + "\n")
     return 1 if differences else 0
--- a/damsonstream/program/commands/playing.py
+++ b/damsonstream/program/commands/playing.py
@@ -1,7 +1,7 @@
-"""What commands that play share: one that can't be played ends the command with its exit code.
+"""Helpers of the commands that run scenarios: they print errors and exit with the command's exit code.
 
-How it is called: `played(lambda: anyio.run(...))` gives what the play gives; `tell(found, seen)` prints the
-bounds and how GETs ended.
+Usage: `run_or_exit(lambda: anyio.run(...))` returns the result of the run; `print_result(result, observed)`
+prints the checked bounds and the outcomes of the GETs.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 import click
 
 from damsonstream.settings import kdl
-from damsonstream.together.checks import Seen as Shown
+from damsonstream.together.checks import Seen as Observations
 from damsonstream.together.checks import told
 from damsonstream.together.verdict import Result
 
-Seen = TypeVar("Seen")
+Outcome = TypeVar("Outcome")
 Loaded = TypeVar("Loaded")
 
 
-def played(play: Callable[[], Seen]) -> Seen:
-    """Raises click's Exit: 130 where it was stopped, 2 where the fleet could not be played."""
+def run_or_exit(run: Callable[[], Outcome]) -> Outcome:
+    """Returns what `run` returns; exits with 130 on Ctrl-C, and with 2 if the fleet could not be run."""
     try:
-        return play()
+        return run()
     except KeyboardInterrupt:
         click.echo("stopped", err=True)
         raise click.exceptions.Exit(130) from None
     except (RuntimeError, OSError) as fault:
-        click.echo(f"The fleet could not be played: {fault}", err=True)
+        click.echo(f"The fleet could not be run: {fault}", err=True)
         raise click.exceptions.Exit(2) from fault
 
 
 def scripts(folder: Path, load: Callable[[str], Loaded]) -> Iterator[Loaded]:
-    """What each KDL file of a folder holds; one that can't be used is named, and ends the command with 2."""
+    """Yields the content of each KDL file of a folder; an invalid one is reported and exits with code 2."""
     for path in sorted(folder.glob("*.kdl")):
         try:
             yield load(str(path))
@@ -44,10 +44,11 @@
             raise click.exceptions.Exit(2) from fault
 
 
-def tell(found: Result, seen: Shown) -> None:
-    for one in found.checks:
+def print_result(result: Result, observed: Observations) -> None:
+    """Prints each check with its bound and result, and the outcomes of the GETs."""
+    for one in result.checks:
         click.echo(f"  {'kept  ' if one.kept else 'BROKEN'}  {one.name}: {one.seen:g} ({one.bound})")
-    for text in told(seen):
+    for text in told(observed):
         click.echo(f"          {text}")
-    ended = Counter(one.outcome or "open" for one in seen.tries)
-    click.echo("GETs: " + ", ".join(f"{count} {name}" for name, count in ended.most_common()))
+    outcomes = Counter(one.outcome or "open" for one in observed.tries)
+    click.echo("GETs: " + ", ".join(f"{count} {name}" for name, count in outcomes.most_common()))
--- a/damsonstream/program/commands/records.py
+++ b/damsonstream/program/commands/records.py
@@ -1,4 +1,4 @@
-"""`damsonstream records`: verify, show, merge and stats."""
+"""`damsonstream records`: verify, show, merge and summarize the records of gateways."""
 
 from __future__ import annotations
 
@@ -18,23 +18,26 @@
 from damsonstream.records import model, store
 from damsonstream.records.store import Item, Problem
 
-S = 10_000
+S = 10_000  # ticks of 0.1 ms per second
 FOLDER = click.argument(
     "folder", metavar="RECORDS", type=click.Path(path_type=Path, exists=True, file_okay=False)
 )
-GATEWAY = click.option("--gateway", "gateways", multiple=True, help="Only this one; may be given again.")
+GATEWAY = click.option(
+    "--gateway", "gateways", multiple=True, help="Only this gateway; may be given several times."
+)
 
 
 @click.group()
 def records() -> None:
-    """Look into the records that gateways leave in a folder."""
+    """Inspect the records that gateways write to a folder."""
 
 
-def chosen(folder: Path, gateways: tuple[str, ...]) -> dict[str, Path]:
+def selected(folder: Path, gateways: tuple[str, ...]) -> dict[str, Path]:
+    """Returns the folders of the named gateways, or of all; raises UsageError if one has no records."""
     found = store.gateways(folder)
     if unknown := [name for name in gateways if name not in found]:
         raise click.UsageError(
-            f"{folder} holds no records of {', '.join(unknown)}; there are: {', '.join(found) or '-'}"
+            f"{folder} contains no records of {', '.join(unknown)}; available: {', '.join(found) or '-'}"
         )
     return {name: path for name, path in found.items() if not gateways or name in gateways}
 
@@ -42,14 +45,15 @@
 @records.command()
 @FOLDER
 @GATEWAY
-@click.option("--json", "as_json", is_flag=True, help="One object with all that was found.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def verify(folder: Path, gateways: tuple[str, ...], as_json: bool) -> int:
-    """Go through all segments and say what is missing or damaged.
+    """Check all segments and report missing or damaged records.
 
-    Exit code 0 if nothing is, 1 if something is. What was removed by age or size is told, and is no damage.
+    Exit code 0 if there is no damage, 1 if there is. Segments that were removed by age or size are reported
+    but don't count as damage.
     """
-    told: list[dict[str, Any]] = []
-    for name, path in chosen(folder, gateways).items():
+    results: list[dict[str, Any]] = []
+    for name, path in selected(folder, gateways).items():
         reader, count, boots = store.Reader(path), 0, set[int]()
         problems: list[Problem] = []
         dropped = 0
@@ -61,7 +65,7 @@
                 count += 1
                 if isinstance(entry.record, model.Dropped):
                     dropped += entry.record.count
-        told.append(
+        results.append(
             {
                 "gateway": name,
                 "boots": len(boots),
@@ -72,11 +76,11 @@
                 "problems": [asdict(problem) for problem in problems],
             }
         )
-    damaged = any(p["kind"] != "removed" for one in told for p in one["problems"])
+    damaged = any(p["kind"] != "removed" for one in results for p in one["problems"])
     if as_json:
-        click.echo(json.dumps({"damaged": damaged, "gateways": told}, indent=1))
+        click.echo(json.dumps({"damaged": damaged, "gateways": results}, indent=1))
         return int(damaged)
-    for one in told:
+    for one in results:
         click.echo(
             f"{plain(one['gateway'])}: {one['records']} records in {one['segments']} segments of "
             f"{one['boots']} boots, {one['bytes'] / 1e6:.1f} MB"
@@ -88,14 +92,14 @@
                 f"  boot {p['boot']} segment {p['segment']} byte {p['at']}: {p['kind']}{lost}"
                 + (f" ({plain(p['detail'])})" if p["detail"] else "")
             )
-    if not told:
+    if not results:
         click.echo("no records")
     return int(damaged)
 
 
 @dataclass
 class Filter:
-    """Which records are wanted; empty means any."""
+    """The criteria for the shown records; an empty one matches all."""
 
     kinds: tuple[str, ...] = ()
     ident: str = ""
@@ -106,17 +110,18 @@
     until: float = 0.0
 
     def __post_init__(self) -> None:
-        self.numbers: dict[tuple[str, int, int], None] = {}  # GETs that are followed
+        self.numbers: dict[tuple[str, int, int], None] = {}  # tracked GETs: (gateway, boot, number)
         self.services: dict[tuple[str, int], list[str]] = {}
         self.start = 0
 
-    def wants(self, at: int, name: str, item: Item) -> bool:
+    def matches(self, at: int, name: str, item: Item) -> bool:
+        """Returns whether a record matches; expects all records in order, to track the GETs."""
         record = item.record
         self.start = self.start or at
         if isinstance(record, model.Began):
             self.services[name, item.boot] = [service.name for service in record.services]
         if isinstance(record, model.Taken):
-            self.follow(name, item.boot, record)
+            self.track(name, item.boot, record)
         seconds = (at - self.start) / S
         if (self.since and seconds < self.since) or (self.until and seconds > self.until):
             return False
@@ -134,20 +139,23 @@
             *(one.cache for one in getattr(record, "lines", ())),
         )  # fmt: skip
 
-    def follow(self, name: str, boot: int, record: model.Taken) -> None:
-        told = self.services.get((name, boot), [])
-        service = told[record.service] if 0 <= record.service < len(told) else ""
+    def track(self, name: str, boot: int, record: model.Taken) -> None:
+        """Tracks a GET whose id and delivery service match, so that its later records match too."""
+        names = self.services.get((name, boot), [])
+        service = names[record.service] if 0 <= record.service < len(names) else ""
         if (not self.ident or record.ident == self.ident) and (not self.service or service == self.service):
             self.numbers[name, boot, record.get] = None
-            while len(self.numbers) > 100_000:  # those of long ago have ended
+            while len(self.numbers) > 100_000:  # the oldest ones have ended
                 del self.numbers[next(iter(self.numbers))]
 
 
 def clock(at: int) -> str:
+    """Formats a time in tenths of a millisecond since the epoch, in UTC."""
     return datetime.fromtimestamp(at / S, UTC).strftime("%H:%M:%S.%f")[:-2]
 
 
 def plain_data(at: int, name: str, item: Item) -> dict[str, Any]:
+    """Returns a record as a JSON object; `at` is in fleet time, `own_at` by the gateway's own clock."""
     fields = msgspec.structs.asdict(item.record)
     for key in ("services", "lines"):
         if key in fields:
@@ -157,25 +165,29 @@
             "own_at": item.record.at / S}  # fmt: skip
 
 
-def filtered(folder: Path, gateways: tuple[str, ...], wanted: Filter) -> Iterator[tuple[int, str, Item]]:
-    names = chosen(folder, gateways)
-    return (entry for entry in merged(folder, names) if wanted.wants(*entry))
+def filtered(folder: Path, gateways: tuple[str, ...], criteria: Filter) -> Iterator[tuple[int, str, Item]]:
+    names = selected(folder, gateways)
+    return (entry for entry in merged(folder, names) if criteria.matches(*entry))
 
 
 @records.command()
 @FOLDER
 @GATEWAY
 @click.option(
-    "--kind", "kinds", multiple=True, type=click.Choice(sorted(model.KINDS)), help="May be given again."
+    "--kind",
+    "kinds",
+    multiple=True,
+    type=click.Choice(sorted(model.KINDS)),
+    help="Only this kind; may be given several times.",
 )
-@click.option("--get", "ident", default="", help="Only the GET of this id, from being taken to its end.")
-@click.option("--node", default="", help="Only what names this cache, parent or origin.")
+@click.option("--get", "ident", default="", help="Only the GET with this id, from its arrival to its end.")
+@click.option("--node", default="", help="Only records that name this cache, parent or origin.")
 @click.option("--service", default="", help="Only GETs of this delivery service.")
-@click.option("--boot", default=0, help="Only this boot.")
+@click.option("--boot", default=0, help="Only this boot (start of the gateway process).")
 @click.option("--since", default=0.0, help="Seconds after the first record.")
 @click.option("--until", default=0.0, help="Seconds after the first record.")
-@click.option("--limit", default=0, help="So many lines at the most.")
-@click.option("--json", "as_json", is_flag=True, help="A JSON object in each line.")
+@click.option("--limit", default=0, help="Maximum number of lines; 0: no limit.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
 def show(
     folder: Path,
     gateways: tuple[str, ...],
@@ -189,10 +201,10 @@
     limit: int,
     as_json: bool,
 ) -> int:
-    """Print records of all gateways in fleet time. Exit code 1 if none is as wanted."""
-    wanted = Filter(kinds, ident, node, service, boot, since, until)
+    """Print the records of all gateways in fleet time. Exit code 1 if none matches."""
+    criteria = Filter(kinds, ident, node, service, boot, since, until)
     count = 0
-    for at, name, item in filtered(folder, gateways, wanted):
+    for at, name, item in filtered(folder, gateways, criteria):
         count += 1
         if as_json:
             click.echo(json.dumps(plain_data(at, name, item)))
@@ -210,8 +222,8 @@
     "-o", "--output", type=click.File("w", atomic=True), default="-", help="Default: standard output."
 )
 def merge(folder: Path, gateways: tuple[str, ...], output: Any) -> int:
-    """All records in fleet time, as JSON lines. Within a gateway their own order is kept."""
-    for at, name, item in merged(folder, chosen(folder, gateways)):
+    """Write all records in fleet time, as JSON lines. The records of one gateway stay in their order."""
+    for at, name, item in merged(folder, selected(folder, gateways)):
         output.write(json.dumps(plain_data(at, name, item)) + "\n")
     return 0
 
@@ -221,9 +233,9 @@
 @GATEWAY
 @click.option("--json", "as_json", is_flag=True)
 def stats(folder: Path, gateways: tuple[str, ...], as_json: bool) -> int:
-    """How many records of each kind there are, and how much they take."""
-    told: dict[str, Any] = {}
-    for name, path in chosen(folder, gateways).items():
+    """Count the records by kind, and their size."""
+    totals: dict[str, Any] = {}
+    for name, path in selected(folder, gateways).items():
         reader, kinds = store.Reader(path), Counter[str]()
         first = last = 0
         for entry in reader.read():
@@ -231,7 +243,7 @@
                 kinds[type(entry.record).__name__.lower()] += 1
                 first, last = first or entry.record.at, entry.record.at
         count = kinds.total()
-        told[name] = {
+        totals[name] = {
             "records": count,
             "bytes": reader.bytes,
             "bytes_each": round(reader.bytes / count, 1) if count else 0.0,
@@ -239,9 +251,9 @@
             "kinds": dict(kinds.most_common()),
         }
     if as_json:
-        click.echo(json.dumps(told, indent=1))
+        click.echo(json.dumps(totals, indent=1))
         return 0
-    for name, one in told.items():
+    for name, one in totals.items():
         each, seconds = one["bytes_each"], one["seconds"]
         click.echo(
             f"{plain(name)}: {one['records']} records, {one['bytes'] / 1e6:.2f} MB, {each:g} bytes each, "
--- a/damsonstream/program/commands/report.py
+++ b/damsonstream/program/commands/report.py
@@ -1,4 +1,4 @@
-"""`damsonstream report`: an incident told from records, as a page or as JSON."""
+"""`damsonstream report`: reconstructs an incident from records, as an HTML page or as JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def put(path: Path, text: str) -> None:
-    """The whole file or none of it: a report that is half there looks like one."""
+    """Writes a file atomically, because a truncated report would look like a complete one."""
     handle, name = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
         with os.fdopen(handle, "w", encoding="utf-8") as stream:
@@ -29,9 +29,10 @@
 
 
 def rendered(incident: Incident, form: str, title: str = "Incident report") -> str:
+    """Returns the report in the format `form`: "html" or "json"."""
     if form == "json":
         return json.dumps(reading.summary(incident), indent=1) + "\n"
-    from damsonstream.report.page import page  # charts cost a second to load
+    from damsonstream.report.page import page  # importing the charts takes a second
 
     return page(incident, title)
 
@@ -42,20 +43,21 @@
     "-o", "--output", type=click.Path(path_type=Path, dir_okay=False), help="Default: standard output."
 )
 @click.option("--format", "form", type=click.Choice(["html", "json"]), default="html", show_default=True)
-@click.option("--gateway", "gateways", multiple=True, help="Only this one; may be given again.")
+@click.option("--gateway", "gateways", multiple=True, help="Only this gateway; may be given several times.")
 @click.option("--title", default="Incident report", show_default=True)
-@click.option("--live", is_flag=True, help="Gateways may still write: what is open at the end is not lost.")
+@click.option(
+    "--live", is_flag=True, help="Gateways may still be writing: GETs open at the end are not lost."
+)
 def report(
     records: Path, output: Path | None, form: str, gateways: tuple[str, ...], title: str, live: bool
 ) -> int:
-    """Tell what happened, from the records in the folder RECORDS.
+    """Report what happened, from the records in the folder RECORDS.
 
-    Exit code 0 if every GET is accounted for and no rule is proved broken, else 1; 2 if there is nothing to
-    read.
+    Exit code 0 if every GET is accounted for and no rule is proved broken, else 1; 2 if there are no records.
     """
     incident = reading.gather(records, gateways, live)
     if not incident.boots:
-        click.echo(f"{records} holds no records{' of these gateways' if gateways else ''}.", err=True)
+        click.echo(f"{records} contains no records{' of these gateways' if gateways else ''}.", err=True)
         return 2
     text = rendered(incident, form, title)
     if output is None:
--- a/damsonstream/program/commands/root.py
+++ b/damsonstream/program/commands/root.py
@@ -1,7 +1,7 @@
-"""The tools' command line: one group on click, whose commands are loaded when they are called.
+"""The command line of the tools: a click group whose commands are imported when they are called.
 
-How it is called: `run(arguments)` returns the exit code: 0, or 1 where the command found what it looks for to
-be wrong, or 2 where arguments or files can't be used.
+Usage: `run(arguments)` returns the exit code: 0 for success, 1 if the command's check failed, 2 for unusable
+arguments or files.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from damsonstream import __version__
 from damsonstream.program import own
 
-# name: module and attribute, one line of help
+# command name: module and attribute, one line of help
 COMMANDS = {
-    "demo": ("damsonstream.program.commands.demo:demo", "Start a small fleet and show it: begin here."),
+    "demo": ("damsonstream.program.commands.demo:demo", "Run a small fleet on this machine: start here."),
     "records": (
         "damsonstream.program.commands.records:records",
-        "Look into the records that gateways leave.",
+        "Inspect the records that gateways write.",
     ),
-    "report": ("damsonstream.program.commands.report:report", "Tell an incident, phase by phase."),
-    "traces": ("damsonstream.program.commands.traces:traces", "Read, make and replay published traces."),
+    "report": ("damsonstream.program.commands.report:report", "Report an incident, phase by phase."),
+    "traces": ("damsonstream.program.commands.traces:traces", "Read, generate and replay traces."),
     "tiers": ("damsonstream.program.commands.tiers:tiers", "Check and compare hierarchies of caches."),
     "together": (
         "damsonstream.program.commands.together:together",
-        "Play faults between several gateways.",
+        "Inject faults into several gateways.",
     ),
     "experiment": (
         "damsonstream.program.commands.experiment:experiment",
-        "Play fleets in virtual time and compare.",
+        "Simulate fleets in virtual time and compare.",
     ),
-    "console": ("damsonstream.program.commands.console:console", "Watch a fleet by its records."),
+    "console": ("damsonstream.program.commands.console:console", "Watch a fleet through its records."),
     "completion": (
         "damsonstream.program.commands.completion:completion",
         "Print a shell's completion script.",
@@ -41,20 +41,20 @@
 }
 GATEWAY = {
     "serve": "Run one gateway in the foreground.",
-    "check-config": "Read a gateway's configuration and say what it holds.",
+    "check-config": "Check a gateway's configuration and print it.",
     "version": "Print the version.",
 }
 
 
-class Lazy(click.Group):
-    """Commands by name; a module is loaded once its command is used."""
+class LazyGroup(click.Group):
+    """A group that imports a command's module only when the command is used."""
 
     def list_commands(self, context: click.Context) -> list[str]:
-        return [*GATEWAY, *(name for name, (where, _) in COMMANDS.items() if there(where))]
+        return [*GATEWAY, *(name for name, (where, _) in COMMANDS.items() if is_installed(where))]
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
         if name in GATEWAY:
-            return passed_on(name)
+            return gateway_command(name)
         if name not in COMMANDS:
             return None
         where = COMMANDS[name][0]
@@ -64,19 +64,22 @@
         return command
 
     def format_commands(self, context: click.Context, formatter: click.HelpFormatter) -> None:
-        """The lines of help stand here: `--help` loads no tool."""
+        """Lists the help lines of the tables above, so that `--help` imports no tool."""
         with formatter.section("Gateway"):
             formatter.write_dl(list(GATEWAY.items()))
         with formatter.section("Tools"):
-            formatter.write_dl([(name, text) for name, (where, text) in COMMANDS.items() if there(where)])
+            formatter.write_dl(
+                [(name, text) for name, (where, text) in COMMANDS.items() if is_installed(where)]
+            )
 
 
-def there(where: str) -> bool:
+def is_installed(where: str) -> bool:
+    """Returns whether a command's module exists."""
     return importlib.util.find_spec(where.partition(":")[0]) is not None
 
 
-def passed_on(name: str) -> click.Command:
-    """A command of the gateway's own, which parses its arguments itself."""
+def gateway_command(name: str) -> click.Command:
+    """Returns a command that passes its arguments to the gateway, which parses them itself."""
 
     @click.command(
         name, help=GATEWAY[name], add_help_option=False,
@@ -89,19 +92,22 @@
     return command
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
+@click.group(
+    cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100}
+)
 @click.version_option(__version__, message="damsonstream %(version)s")
 def damsonstream() -> None:
-    """A gateway before tiers of caches, and the tools around it.
+    """A gateway in front of tiers of caches, and its tools.
 
-    Start with `damsonstream demo`: a small fleet on this machine, with its records and a report of what
-    happened.
+    Start with `damsonstream demo`: it runs a small fleet on this machine and reports what happened from its
+    records.
     """
 
 
 def run(arguments: list[str]) -> int:
+    """Runs a command and returns its exit code."""
     try:
-        ended = damsonstream.main(arguments, prog_name="damsonstream", standalone_mode=False)
+        code = damsonstream.main(arguments, prog_name="damsonstream", standalone_mode=False)
     except click.exceptions.Exit as stop:
         return stop.exit_code
     except click.exceptions.NoArgsIsHelpError as fault:
@@ -112,4 +118,4 @@
         return 2
     except click.Abort:
         return 130
-    return ended if isinstance(ended, int) else 0
+    return code if isinstance(code, int) else 0
--- a/damsonstream/program/commands/traces.py
+++ b/damsonstream/program/commands/traces.py
@@ -1,4 +1,4 @@
-"""`damsonstream traces`: read published traces, look at them, make others of them, replay them."""
+"""`damsonstream traces`: reads published traces, analyses, transforms, generates and replays them."""
 
 from __future__ import annotations
 
@@ -29,46 +29,46 @@
 def traces() -> None:
     """Read published cluster traces in CSV, and replay them as GETs.
 
-    Begin with `traces formats` and `traces stats FILE --format NAME`.
+    Start with `traces formats` and `traces stats FILE --format NAME`.
     """
 
 
 def read_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """What says how CSV is read, the same for every command that reads."""
+    """Adds the options that control how CSV is read; all commands that read traces share them."""
     for option in reversed(
         (
-            click.option("--format", "form", help="A shipped format or a KDL file; for CSV."),
-            click.option("--seed", default=1, show_default=True, help="Of drawn sizes and of hashes."),
+            click.option("--format", "form", help="For CSV: a shipped format or a KDL file."),
+            click.option("--seed", default=1, show_default=True, help="Seed of random sizes and of hashes."),
             click.option(
                 "--sizes",
                 type=click.Choice(["draw", "unknown"]),
                 default="draw",
                 show_default=True,
-                help="What becomes of absent sizes.",
+                help="Missing sizes: draw them at random, or leave them unknown.",
             ),
             click.option(
-                "--window", default="10s", show_default=True, help="Rows may be out of order by so much."
+                "--window", default="10s", show_default=True, help="How far rows may be out of order."
             ),
             click.option(
                 "--late",
                 type=click.Choice(["clamp", "skip"]),
                 default="clamp",
                 show_default=True,
-                help="Rows that are later than that: moved to the window's edge, or skipped.",
+                help="Rows outside the window: move them to its edge, or skip them.",
             ),
             click.option(
                 "--steps",
                 type=click.Choice(["rebase", "late"]),
                 default="rebase",
                 show_default=True,
-                help="A clock that was set back: go on from where it was, or take all after it for late.",
+                help="When the clock was set back: continue from the time before, or treat rows as late.",
             ),
             click.option(
                 "--shards",
                 type=click.Choice(["auto", "follow", "merge"]),
                 default="auto",
                 show_default=True,
-                help="Several files: one after the other, or merged by time.",
+                help="Several files: read one after the other, or merge them by time.",
             ),
         )
     ):
@@ -77,7 +77,7 @@
 
 
 class Source:
-    """GETs of CSV files or of one in the native form."""
+    """The GETs of CSV files, or of one file in the compact (native) form."""
 
     def __init__(
         self,
@@ -94,37 +94,39 @@
         self.native = self.reading = None
         if form is None:
             if len(self.paths) != 1:
-                raise click.UsageError("Several files are CSV: name their --format.")
+                raise click.UsageError("Several files must be CSV: give their --format.")
             try:
                 self.native = Native(self.paths[0])
             except Spoilt as fault:
-                raise click.UsageError(f"{fault}; for CSV name its --format.") from fault
+                raise click.UsageError(f"{fault}; for CSV give its --format.") from fault
             return
         try:
-            told = formats.load(form)
+            loaded = formats.load(form)
             width = int(kdl.span(window) * 1e6)
         except kdl.Fault as fault:
             raise click.UsageError(str(fault)) from fault
         except ValueError as fault:
-            raise click.UsageError(f"--window {window} is not a time such as 10s.") from fault
+            raise click.UsageError(f"--window {window} is not a duration such as 10s.") from fault
         options = Options(seed, sizes == "draw")
-        self.reading = Reading(self.paths, told, options, Rule(width, late=late, steps=steps), shards)
+        self.reading = Reading(self.paths, loaded, options, Rule(width, late=late, steps=steps), shards)
 
     def batches(self) -> Iterator[np.ndarray]:
+        """Yields the GETs in batches."""
         if self.reading is not None:
             return self.reading.batches()
         assert self.native is not None
         return self.native.batches()
 
     def about(self) -> dict[str, Any]:
+        """Returns the description that is stored with a trace."""
         if self.reading is not None:
             return {key: value for key, value in self.reading.told().items() if key != "examples"}
         assert self.native is not None
         return self.native.about
 
 
-def spoilt(command: Callable[..., int]) -> Callable[..., int]:
-    """A file whose bytes are not what was written is one sentence, and exit code 2."""
+def handle_corrupt_file(command: Callable[..., int]) -> Callable[..., int]:
+    """Makes a command report a corrupt file in one sentence, with exit code 2."""
     import functools
 
     @functools.wraps(command)
@@ -141,42 +143,44 @@
 @traces.command("formats")
 @click.argument("name", required=False)
 def list_formats(name: str | None) -> int:
-    """List the shipped formats, or tell all of one."""
+    """List the shipped formats, or show all details of one."""
     for one in [name] if name else formats.shipped():
         try:
-            told = formats.load(one)
+            loaded = formats.load(one)
         except kdl.Fault as fault:
             click.echo(f"Error: {fault}", err=True)
             return 2
-        click.echo(f"{told.name:16} {told.about}")
+        click.echo(f"{loaded.name:16} {loaded.about}")
         if name:
-            click.echo(f"  described in: {told.source}")
+            click.echo(f"  described in: {loaded.source}")
             click.echo(
-                f"  {'a header' if told.header else 'no header'}, fields parted by {told.delimiter!r}: "
-                f"{', '.join(told.columns)}"
+                f"  {'a header' if loaded.header else 'no header'}, fields separated by "
+                f"{loaded.delimiter!r}: {', '.join(loaded.columns)}"
             )
-            size, client = told.size.column or "not told", told.client or "not told"
-            click.echo(f"  time {told.time.column}, key {' + '.join(told.key)}, size {size}, client {client}")
-            click.echo(f"  operation {told.operation.column or 'not told: all are reads'}")
+            size, client = loaded.size.column or "none", loaded.client or "none"
+            click.echo(
+                f"  time {loaded.time.column}, key {' + '.join(loaded.key)}, size {size}, client {client}"
+            )
+            click.echo(f"  operation {loaded.operation.column or 'none: all are reads'}")
     return 0
 
 
 @traces.command()
 @click.argument("files", nargs=-1, required=True, type=FILE)
 @read_options
-@click.option("--line", "lines", multiple=True, type=int, help="Only this line; may be given again.")
-@click.option("--limit", default=20, show_default=True, help="So many lines at the most.")
+@click.option("--line", "lines", multiple=True, type=int, help="Only this line; may be given several times.")
+@click.option("--limit", default=20, show_default=True, help="Maximum number of lines.")
 def explain(files: tuple[Path, ...], lines: tuple[int, ...], limit: int, **how: Any) -> int:
-    """Say of each row how it was read, and why."""
+    """Explain for each row how it was read, and why."""
     source = Source(files, **how)
     if source.reading is None:
-        raise click.UsageError("Only CSV has rows to explain: name its --format.")
+        raise click.UsageError("Only rows of CSV can be explained: give its --format.")
     reading, shown = source.reading, 0
-    enter = reading.tally.enter
+    count_batch = reading.tally.enter
 
-    def told(file: str, batch: Any, text: Callable[[int], str]) -> None:
+    def print_rows(file: str, batch: Any, text: Callable[[int], str]) -> None:
         nonlocal shown
-        enter(file, batch, text)
+        count_batch(file, batch, text)
         rows = [
             (int(batch.lines[p]), int(batch.fates[p]), batch.gets[p]) for p in range(min(len(batch), 200_000))
         ]
@@ -198,18 +202,18 @@
                 click.echo(
                     f"    {'write' if get['kind'] == WRITE else 'read'} of {get['object']:016x}, group "
                     f"{get['group']}, client {get['client']:016x}, size {size}, "
-                    f"at {get['time'] / 1e6:.6f} s of its clock{moved}"
+                    f"at {get['time'] / 1e6:.6f} s of the trace's clock{moved}"
                 )
 
-    object.__setattr__(reading, "tally", Told(reading.tally, told))
+    object.__setattr__(reading, "tally", ObservedTally(reading.tally, print_rows))
     for _ in reading.batches():
         if shown >= limit or (lines and shown >= len(lines)):
             break
     return 0 if shown else 1
 
 
-class Told:
-    """A tally that tells of each batch."""
+class ObservedTally:
+    """A tally that passes each batch to a callback; everything else goes to the wrapped tally."""
 
     def __init__(self, tally: Any, enter: Callable[..., None]) -> None:
         self.tally, self.enter = tally, enter
@@ -221,29 +225,30 @@
 @traces.command()
 @click.argument("files", nargs=-1, required=True, type=FILE)
 @read_options
-@click.option("--json", "as_json", is_flag=True, help="One object with all of it.")
-@click.option("--html", type=OUT, help="A page with tables and charts.")
-@spoilt
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
+@click.option("--html", type=OUT, help="File for a page with tables and charts.")
+@handle_corrupt_file
 def stats(files: tuple[Path, ...], as_json: bool, html: Path | None, **how: Any) -> int:
-    """Say what a trace is like.
+    """Show the statistics of a trace.
 
-    `rows` is the sum of `used`, of all of `mended` and of all of `skipped`: a row that was mended is a GET
-    too, and counts under the first rule that mended it. Exit code 1 if a file could only be read in part.
+    `rows` is the sum of `used`, of all of `mended` and of all of `skipped`: a repaired (`mended`) row is also
+    a GET, and is counted under the first rule that repaired it. Exit code 1 if a file was only partly
+    readable.
     """
     from damsonstream.traces.stats import Stats
 
-    source, found = Source(files, **how), Stats()
+    source, statistics = Source(files, **how), Stats()
     for gets in source.batches():
-        found.add(gets)
+        statistics.add(gets)
     about = source.about()
     if source.reading is not None:
         about = source.reading.told()
-    whole = {**about, "stats": found.told()}
+    whole = {**about, "stats": statistics.told()}
     if html is not None:
         from damsonstream.program.commands.report import put
         from damsonstream.traces.page import page
 
-        put(html, page(whole, found))
+        put(html, page(whole, statistics))
         click.echo(f"{html} written", err=True)
     if as_json:
         click.echo(json.dumps(whole, indent=1))
@@ -253,7 +258,8 @@
 
 
 def print_stats(whole: dict[str, Any]) -> None:
-    told = whole["stats"]
+    """Prints the statistics as text."""
+    stats = whole["stats"]
     if "used" in whole:
         click.echo(f"rows {whole['rows']}: used {whole['used']}, mended {sum(whole['mended'].values())}, "
                    f"skipped {sum(whole['skipped'].values())}")  # fmt: skip
@@ -266,31 +272,31 @@
         for fault in whole["faults"]:
             click.echo(f"  {plain(fault, 200)}")
         click.echo(f"digest {whole['digest']}")
-    rate, objects, sizes = told["rate"], told["objects"], told["sizes"]
+    rate, objects, sizes = stats["rate"], stats["objects"], stats["sizes"]
     click.echo(
-        f"GETs {told['gets']} over {told['span_s']:g} s, {rate['mean'] or 0:g} a second, "
-        f"{rate['peak']:g} at the most"
+        f"GETs {stats['gets']} over {stats['span_s']:g} s, {rate['mean'] or 0:g} per second, "
+        f"peak {rate['peak']:g}"
     )
     zipf = objects["zipf"]
     click.echo(
-        f"objects {objects['distinct']}, {100 * objects['wanted_once']:.1f}% wanted once"
+        f"objects {objects['distinct']}, {100 * objects['wanted_once']:.1f}% requested once"
         + (f", Zipf alpha {zipf['alpha']} +- {zipf['error']} (r2 {zipf['r2']})" if zipf else "")
     )
-    click.echo(f"clients {told['clients']}, writes {told['writes']}")
+    click.echo(f"clients {stats['clients']}, writes {stats['writes']}")
     click.echo(
-        f"sizes: mean {sizes['mean']:g}, median {sizes['p50']:g}, 99% {sizes['p99']:g}, "
+        f"sizes: mean {sizes['mean']:g}, median {sizes['p50']:g}, p99 {sizes['p99']:g}, "
         f"largest {sizes['largest']}; {sizes['drawn']} drawn, {sizes['unknown']} unknown"
     )
-    click.echo(f"bursts: {', '.join(f'{k} {v:g}' for k, v in told['bursts'].items())}")
+    click.echo(f"bursts: {', '.join(f'{k} {v:g}' for k, v in stats['bursts'].items())}")
     click.echo("cache (objects)    misses   +-")
-    for one in told["miss_ratio"]["by_objects"]:
+    for one in stats["miss_ratio"]["by_objects"]:
         click.echo(f"  {one['cache']:15} {one['misses']:8.4f} {one['error']:.4f}")
 
 
-def made(
-    output: Path, about: dict[str, Any], batches: Iterable[np.ndarray], told: Callable[[], dict[str, Any]]
+def write_trace(
+    output: Path, about: dict[str, Any], batches: Iterable[np.ndarray], describe: Callable[[], dict[str, Any]]
 ) -> int:
-    """Writes a trace whole, or not at all."""
+    """Writes a trace completely or not at all; `describe` is called at the end for more metadata."""
     from damsonstream.traces.digest import Digest
 
     writing, digest = Writing(output, about), Digest()
@@ -298,7 +304,7 @@
         for gets in batches:
             digest.add(gets)
             writing.add(gets)
-        writing.close(**{**told(), "digest": digest.hex()})
+        writing.close(**{**describe(), "digest": digest.hex()})
     except BaseException:
         writing.drop()
         raise
@@ -313,12 +319,12 @@
 @click.argument("files", nargs=-1, required=True, type=FILE)
 @read_options
 @click.option("-o", "--output", type=OUT, required=True)
-@spoilt
+@handle_corrupt_file
 def convert(files: tuple[Path, ...], output: Path, **how: Any) -> int:
     """Write the compact form: ordered, indexed by time, with checksums. Other commands read it without
     --format."""
     source = Source(files, **how)
-    code = made(output, {}, source.batches(), source.about)
+    code = write_trace(output, {}, source.batches(), source.about)
     return 1 if source.about().get("faults") else code
 
 
@@ -327,198 +333,212 @@
 @read_options
 @click.option("--from", "start", default=0.0, help="Seconds after the first GET.")
 @click.option("--to", "end", type=float, help="Seconds after the first GET.")
-@click.option("--first", "count", type=int, help="So many GETs at the most.")
+@click.option("--first", "count", type=int, help="Maximum number of GETs.")
 @click.option("-o", "--output", type=OUT, required=True)
-@spoilt
+@handle_corrupt_file
 def cut(file: Path, start: float, end: float | None, count: int | None, output: Path, **how: Any) -> int:
-    """Take a part of a trace, by time or count. Its times begin anew."""
+    """Extract a part of a trace, by time or count. Its times start again at 0."""
     source = Source([file], **how)
     low, high = int(start * 1e6), None if end is None else int(end * 1e6)
 
     def parts() -> Iterator[np.ndarray]:
-        left = count
-        found = source.native.batches(low, high) if source.native else source.batches()
-        for gets in found:
+        remaining = count
+        batches = source.native.batches(low, high) if source.native else source.batches()
+        for gets in batches:
             gets = gets[(gets["time"] >= low) & ((gets["time"] < high) if high is not None else True)]
-            if left is not None:
-                gets = gets[:left]
-                left -= len(gets)
+            if remaining is not None:
+                gets = gets[:remaining]
+                remaining -= len(gets)
             gets = gets.copy()
             gets["time"] -= low
             yield gets
-            if left == 0 or (high is not None and not len(gets) and source.native is None):
+            if remaining == 0 or (high is not None and not len(gets) and source.native is None):
                 continue
 
-    return made(output, {"made": {"slice": [start, end, count]}}, parts(), source.about)
+    return write_trace(output, {"made": {"slice": [start, end, count]}}, parts(), source.about)
 
 
 @traces.command()
 @click.argument("file", type=FILE)
 @read_options
-@click.option("--speed", default=1.0, type=click.FloatRange(0.0001, 10_000), help="So many times as fast.")
-@click.option("--rate", type=click.FloatRange(0.0, 1.0), help="Keep this share of the GETs.")
+@click.option("--speed", default=1.0, type=click.FloatRange(0.0001, 10_000), help="Speed-up factor.")
+@click.option("--rate", type=click.FloatRange(0.0, 1.0), help="Share of the GETs to keep.")
 @click.option("--by", type=click.Choice(shape.BY), default="object", show_default=True,
-              help="What is kept or left out as a whole.")  # fmt: skip
+              help="What is kept or dropped as a unit.")  # fmt: skip
 @click.option("-o", "--output", type=OUT, required=True)
-@spoilt
+@handle_corrupt_file
 def scale(file: Path, speed: float, rate: float | None, by: str, output: Path, **how: Any) -> int:
-    """Make a trace faster or thinner, order and popularity kept.
+    """Speed up or sample a trace, keeping order and popularity.
 
-    Thinned by object, reuse distances shrink with the rate and popularity stays, but one very popular object
-    is kept or lost whole; by client, each client's own order stays and rare objects are wanted less; by get,
-    rates and popularity stay, reuse in time grows, and more objects look wanted once.
+    Sampling by object shrinks reuse distances with the rate and keeps popularity, but a very popular object
+    is kept or dropped entirely. Sampling by client keeps each client's own order and makes rare objects
+    rarer. Sampling by get keeps rates and popularity, but reuse times grow and more objects appear only
+    once.
     """
     source = Source([file], **how)
     thinning, scaling = shape.Thinning(1.0 if rate is None else rate, by, how["seed"]), shape.Scaling(speed)
     parts = (scaling.apply(thinning.apply(gets)) for gets in source.batches())
-    return made(output, {"made": {"speed": speed, "rate": rate, "by": by}}, parts, source.about)
+    return write_trace(output, {"made": {"speed": speed, "rate": rate, "by": by}}, parts, source.about)
 
 
 @traces.command()
 @click.argument("file", type=FILE)
 @read_options
-@click.option("--salt-file", type=FILE, help="Its bytes are the salt; else one is drawn and thrown away.")
+@click.option(
+    "--salt-file", type=FILE, help="File whose bytes are the salt; default: a random salt that is not stored."
+)
 @click.option("-o", "--output", type=OUT, required=True)
-@spoilt
+@handle_corrupt_file
 def anonymize(file: Path, salt_file: Path | None, output: Path, **how: Any) -> int:
-    """Give objects, clients and tenants new names that only the salt leads back to."""
+    """Replace the names of objects, clients and tenants by new ones that can't be linked without the salt."""
     source = Source([file], **how)
     renaming = shape.Renaming(salt_file.read_bytes() if salt_file else secrets.token_bytes(32))
     about = {"made": {"anonymized": True}}
-    return made(output, about, (renaming.apply(gets) for gets in source.batches()), lambda: {})
+    return write_trace(output, about, (renaming.apply(gets) for gets in source.batches()), lambda: {})
 
 
 @traces.command()
 @click.option("-o", "--output", type=OUT, required=True)
 @click.option(
-    "--like", type=FILE, help="The JSON of `traces stats`: its rate, objects, popularity and sizes."
+    "--like", type=FILE, help="JSON of `traces stats` whose rate, objects, popularity and sizes to imitate."
 )
 @click.option("--gets", default=100_000, show_default=True)
-@click.option("--rate", type=float, help="GETs a second, the mean.")
+@click.option("--rate", type=float, help="Mean GETs per second.")
 @click.option("--objects", type=int)
-@click.option("--alpha", type=float, help="Of Zipf's law.")
+@click.option("--alpha", type=float, help="Exponent of Zipf's law.")
 @click.option(
-    "--once", type=click.FloatRange(0, 1), help="Share of the GETs for objects that are wanted this once."
+    "--once", type=click.FloatRange(0, 1), help="Share of the GETs for objects that are requested only once."
 )
 @click.option("--writes", type=click.FloatRange(0, 1))
-@click.option("--burst", type=click.FloatRange(1, 100), help="Times the mean rate within bursts.")
-@click.option("--crowd-at", type=float, help="Seconds after which a crowd opens one new object.")
+@click.option(
+    "--burst", type=click.FloatRange(1, 100), help="Rate within bursts, as a multiple of the mean rate."
+)
+@click.option("--crowd-at", type=float, help="Seconds after which a flash crowd requests one new object.")
 @click.option("--seed", default=1, show_default=True)
 def generate(output: Path, like: Path | None, gets: int, seed: int, **asked: Any) -> int:
-    """Make a trace from a character: fitted to another, or told."""
-    told: dict[str, Any] = {}
+    """Generate a trace with given characteristics, or with those of another trace."""
+    parameters: dict[str, Any] = {}
     if like is not None:
         try:
-            found = json.loads(like.read_text())["stats"]
-            told = {
-                "rate": found["rate"]["mean"],
-                "objects": max(1, found["objects"]["distinct"]),
-                "alpha": found["objects"]["zipf"].get("alpha", 0.9),
-                "clients": max(1, found["clients"]),
-                "writes": found["writes"] / max(1, found["gets"]),
-                "median_size": max(1.0, found["sizes"]["p50"]),
+            stats = json.loads(like.read_text())["stats"]
+            parameters = {
+                "rate": stats["rate"]["mean"],
+                "objects": max(1, stats["objects"]["distinct"]),
+                "alpha": stats["objects"]["zipf"].get("alpha", 0.9),
+                "clients": max(1, stats["clients"]),
+                "writes": stats["writes"] / max(1, stats["gets"]),
+                "median_size": max(1.0, stats["sizes"]["p50"]),
                 "spread": float(
-                    np.log(max(1.0, found["sizes"]["p99"]) / max(1.0, found["sizes"]["p50"])) / 2.326
+                    np.log(max(1.0, stats["sizes"]["p99"]) / max(1.0, stats["sizes"]["p50"])) / 2.326
                 ),
             }
         except (ValueError, KeyError, TypeError) as fault:
             raise click.UsageError(f"{like} is not what `traces stats --json` prints: {fault!r}") from fault
-    told |= {key: value for key, value in asked.items() if value is not None}
-    character = shape.Character(gets=gets, **told)
-    return made(
-        output, {"made": {"generated": told, "seed": seed}}, shape.generate(character, seed), lambda: {}
+    parameters |= {key: value for key, value in asked.items() if value is not None}
+    character = shape.Character(gets=gets, **parameters)
+    return write_trace(
+        output, {"made": {"generated": parameters, "seed": seed}}, shape.generate(character, seed), lambda: {}
     )
 
 
-def addresses(told: tuple[str, ...]) -> dict[str, tuple[str, int]]:
-    found = {}
-    for one in told:
+def addresses(given: tuple[str, ...]) -> dict[str, tuple[str, int]]:
+    """Parses addresses of the form host:port; raises UsageError for others."""
+    parsed = {}
+    for one in given:
         host, _, port = one.rpartition(":")
         if not host or not port.isdigit():
             raise click.UsageError(f"{one} is not an address of the form host:port.")
-        found[one] = (host, int(port))
-    return found
+        parsed[one] = (host, int(port))
+    return parsed
 
 
 @traces.command()
 @click.argument("file", type=FILE)
 @read_options
 @click.option(
-    "--gateway", "gateways", multiple=True, help="host:port; may be given again. Clients keep to one."
+    "--gateway",
+    "gateways",
+    multiple=True,
+    help="host:port; may be given several times. Each client always uses the same one.",
 )
 @click.option(
     "--fleet",
     type=click.IntRange(1, 16),
-    help="Instead: so many real gateways between stand-ins, on this machine.",
+    help="Instead: number of real gateways to start on this machine, with stand-ins around them.",
 )
-@click.option("--speed", default=1.0, show_default=True, help="So many times as fast.")
-@click.option("--stop-after", type=float, help="Seconds.")
-@click.option("--skip", default=0, help="Begin behind so many GETs.")
-@click.option("--patience", default=3.0, show_default=True, help="Seconds that a viewer waits.")
+@click.option("--speed", default=1.0, show_default=True, help="Speed-up factor.")
+@click.option("--stop-after", type=float, help="Stop after this many seconds.")
+@click.option("--skip", default=0, help="Number of GETs to skip at the start.")
+@click.option("--patience", default=3.0, show_default=True, help="Seconds that a viewer waits for an answer.")
 @click.option("--most-open", default=2000, show_default=True)
 @click.option(
-    "--slow-vault", type=float, help="With --fleet: the vault is slow by so many ms in the middle third."
+    "--slow-vault",
+    type=float,
+    help="With --fleet: delay of the origin, in ms, in the middle third of the replay.",
 )
-@click.option("--script", type=FILE, help="With --fleet: a demo scenario, whose steps are played too.")
+@click.option("--script", type=FILE, help="With --fleet: a demo scenario whose steps are executed too.")
 @click.option(
     "--records",
     type=click.Path(path_type=Path, file_okay=False),
-    help="With --fleet: where records are left.",
+    help="With --fleet: folder for the records.",
 )
-@click.option("--checkpoint", type=OUT, help="Goes on from there if it exists, and keeps it.")
-@click.option("--json", "json_file", type=OUT, help="Where the result goes; else standard output.")
-@spoilt
+@click.option("--checkpoint", type=OUT, help="Checkpoint file: resume from it if it exists, and update it.")
+@click.option("--json", "json_file", type=OUT, help="File for the result; default: standard output.")
+@handle_corrupt_file
 def replay(
     file: Path, gateways: tuple[str, ...], fleet: int | None, json_file: Path | None, **how: Any
 ) -> int:
     """Replay a trace against gateways over FastCGI, open loop, at the recorded times.
 
-    Latency counts from the time that the trace has; further tries are part of the first one. SIGUSR2 pauses
-    and goes on, SIGINT and SIGTERM stop and keep the checkpoint. Exit code 0 if every GET was returned, 1 if
-    not, 2 if it can't be played.
+    Latency is measured from the recorded time; retries belong to the GET's first try. SIGUSR2 pauses and
+    resumes, SIGINT and SIGTERM stop and write the checkpoint. Exit code 0 if every GET was returned, 1 if
+    not, 2 if the trace can't be replayed.
     """
     from damsonstream.replay import play as playing
     from damsonstream.replay.account import Unusable
 
     if bool(gateways) == bool(fleet):
-        raise click.UsageError("Name gateways with --gateway, or a fleet of stand-ins with --fleet.")
+        raise click.UsageError("Give either gateways with --gateway, or --fleet.")
     reading = {key: how.pop(key) for key in ("form", "seed", "sizes", "window", "late", "steps", "shards")}
     source = Source([file], **reading)
     if source.native is None:
-        raise click.UsageError("A replay reads the compact form: `traces convert` makes it.")
+        raise click.UsageError("A replay needs the compact form, which `traces convert` writes.")
     order = playing.Order(source.native, seed=reading["seed"], **how)
     try:
         if fleet:
-            told = playing.with_fleet(order, fleet, Path(tempfile.mkdtemp(prefix="damsonstream-replay-")))
+            result = playing.with_fleet(order, fleet, Path(tempfile.mkdtemp(prefix="damsonstream-replay-")))
         else:
-            told = playing.against(order, addresses(gateways))
+            result = playing.against(order, addresses(gateways))
     except (Unusable, RuntimeError, OSError, kdl.Fault) as fault:
         click.echo(f"Error: {fault}", err=True)
         return 2
-    text = json.dumps(told, indent=1) + "\n"
+    text = json.dumps(result, indent=1) + "\n"
     if json_file is None:
         click.echo(text, nl=False)
     else:
         json_file.write_text(text)
     lost = sum(
-        n for s in told["services"].values() for outcome, n in s["outcomes"].items() if outcome != "returned"
+        n
+        for s in result["services"].values()
+        for outcome, n in s["outcomes"].items()
+        if outcome != "returned"
     )
-    return 0 if not lost and told["gets"] else 1
+    return 0 if not lost and result["gets"] else 1
 
 
 @traces.command()
 @click.argument("file", type=FILE)
 @read_options
-@click.option("--slow", default="", help="A node that is slow for a while: p1, p2 or o (the origin).")
-@click.option("--slow-from", default=0.0, help="Seconds.")
-@click.option("--slow-until", default=0.0, help="Seconds.")
-@click.option("--slow-by", default=0.5, show_default=True, help="Seconds.")
-@click.option("--cache-bytes", default="64MiB", show_default=True, help="Of each cache.")
-@spoilt
+@click.option("--slow", default="", help="Node to slow down: p1, p2 or o (the origin).")
+@click.option("--slow-from", default=0.0, help="Start of the slowdown, in seconds.")
+@click.option("--slow-until", default=0.0, help="End of the slowdown, in seconds.")
+@click.option("--slow-by", default=0.5, show_default=True, help="Added delay, in seconds.")
+@click.option("--cache-bytes", default="64MiB", show_default=True, help="Size of each cache.")
+@handle_corrupt_file
 def route(
     file: Path, slow: str, slow_from: float, slow_until: float, slow_by: float, cache_bytes: str, **how: Any
 ) -> int:
-    """Send a trace through the router alone, without sockets, at full speed: for quick study."""
+    """Run a trace through the router only, without sockets, at full speed, for quick studies."""
     from damsonstream.replay.alone import Alone, Setting
     from damsonstream.replay.run import wishes
 
@@ -527,7 +547,7 @@
         size = kdl.size(cache_bytes, 1)
     except ValueError as fault:
         raise click.UsageError(f"--cache-bytes {cache_bytes} is not a size such as 64MiB.") from fault
-    alone = Alone(
+    router_run = Alone(
         Setting(
             cache_bytes=size,
             slow=slow,
@@ -537,5 +557,5 @@
             seed=how["seed"],
         )
     )
-    click.echo(json.dumps(alone.run(wishes(source.batches(), "pages", "unlock")), indent=1))
+    click.echo(json.dumps(router_run.run(wishes(source.batches(), "pages", "unlock")), indent=1))
     return 0
--- a/damsonstream/program/toollogs.py
+++ b/damsonstream/program/toollogs.py
@@ -1,7 +1,7 @@
-"""Logs of the tools: structlog, rendered to the same key=value lines as the gateway's.
+"""Logging of the tools: structlog, rendered as the same key=value lines as the gateway's log.
 
-How it is called: `begin(level)` once, then `structlog.get_logger(part=...)` as usual. The gateway itself
-stays on `logging`: structlog takes 16 MB more, which a gateway of 32 MB does not have (docs/design.md).
+Usage: call `begin(level)` once, then `structlog.get_logger(part=...)` as usual. The gateway itself uses
+`logging`, because structlog needs 16 MB more and a gateway may have only 32 MB (docs/design.md).
 """
 
 from __future__ import annotations
@@ -18,12 +18,14 @@
 
 
 def render(logger: Any, name: str, event: MutableMapping[str, Any]) -> str:
+    """A structlog processor that formats an event as one line of key=value pairs."""
     pairs = {"at": f"{time.time():.3f}", "level": event.pop("level", name), "part": event.pop("part", "-"),
              "event": event.pop("event", "-"), **event}  # fmt: skip
     return " ".join(f"{key}={quoted(value)}" for key, value in pairs.items())
 
 
 def begin(level: str = "info") -> None:
+    """Configures structlog to write events of at least `level` to standard error."""
     structlog.configure(
         processors=[structlog.processors.add_log_level, structlog.processors.format_exc_info, render],
         wrapper_class=structlog.make_filtering_bound_logger(logging.getLevelNamesMapping()[level.upper()]),
--- a/damsonstream/settings/kdl.py
+++ b/damsonstream/settings/kdl.py
@@ -1,10 +1,11 @@
-"""Operators' own files, in KDL 2: read by the library, checked with file, line and field in each message.
+"""Reads the operators' KDL 2 files and validates them; each error names the file, the line and the field.
 
-How it is called: `parse(text, file)` gives the top `Section`; its `section()`, `text()`, `size()`, `span()`,
-`number()` and `flag()` take out what is expected, and `finish()` says what is left over. All raise `Fault`.
+Usage: `parse(text, file)` returns the top-level `Section`. Its methods `section()`, `text()`, `size()`,
+`duration()`, `number()` and `flag()` read the expected fields, and `finish()` rejects all fields that were
+not read. All of them raise `KdlError`.
 
-The library (ckdl) tells no lines. `places()` finds them: it walks the text's tokens and gives each node's
-line, in the order in which the library gives the nodes.
+The KDL library (ckdl) doesn't report line numbers. `node_lines()` tokenizes the text itself and returns the
+line of each node, in the order in which the library returns the nodes.
 """
 
 from __future__ import annotations
@@ -20,26 +21,28 @@
 
 Value = TypeVar("Value")
 SIZE = re.compile(r"(\d+)\s*(B|KiB|MiB|GiB)?")
-SIZES = {None: 1, "B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
-SPAN = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|m|h|d)")
-SPANS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
-MOST = 1 << 20  # bytes of a file: an operator's own is some KB
+UNIT_BYTES = {None: 1, "B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
+DURATION = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|m|h|d)")
+UNIT_SECONDS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
+MAX_FILE_BYTES = 1 << 20  # operators' files take a few KB
 
 
 class Fault(Exception):
-    """The file can't be used: file, line, field and what is wrong."""
+    """An invalid settings file; the message names the file, the line, the field and the problem."""
 
-    def __init__(self, file: str, line: int, field: str, what: str) -> None:
-        where = f"{file}:{line}" if line else file  # 0: it is the file as a whole
-        super().__init__(f"{where}: {field}: {what}" if field else f"{where}: {what}")
-        self.file, self.line, self.field, self.what = file, line, field, what
+    def __init__(self, file: str, line: int, field: str, message: str) -> None:
+        where = f"{file}:{line}" if line else file  # line 0: the error concerns the whole file
+        super().__init__(f"{where}: {field}: {message}" if field else f"{where}: {message}")
+        self.file, self.line, self.field, self.message = file, line, field, message
 
 
 @dataclass(slots=True)
-class Place:
+class NodeLine:
+    """The name and the line of a node, and those of its children."""
+
     name: str
     line: int
-    children: list[Place] = field(default_factory=list)
+    children: list[NodeLine] = field(default_factory=list)
 
 
 TOKEN = re.compile(
@@ -56,50 +59,56 @@
 )
 
 
-def places(text: str) -> list[Place]:
-    """Nodes and their lines, as far as the text can be followed; what is behind /- is left out."""
-    top: list[Place] = []
-    stack: list[list[Place]] = [top]
-    at, line, fresh, dashed = 0, 1, True, False
-    while at < len(text) and (found := TOKEN.match(text, at)):
+def node_lines(text: str) -> list[NodeLine]:
+    """Returns the nodes of a text with their lines, as far as it can be tokenized.
+
+    A node that is commented out by /- gets an empty name, so that it matches no node of the library.
+    """
+    top: list[NodeLine] = []
+    stack: list[list[NodeLine]] = [top]
+    offset, line, node_start, commented_out = 0, 1, True, False
+    while offset < len(text) and (found := TOKEN.match(text, offset)):
         kind, token = found.lastgroup or "", found[0]
         if token == "/*":
             depth, end = 1, found.end()
             while depth and (mark := re.compile(r"/\*|\*/").search(text, end)):
                 depth += 1 if mark[0] == "/*" else -1
                 end = mark.end()
-            token = text[at : end if not depth else len(text)]
+            token = text[offset : end if not depth else len(text)]
         elif kind in ("line", "mark"):
             if token == "{" and stack[-1]:
                 stack.append(stack[-1][-1].children)
             elif token == "}" and len(stack) > 1:
                 stack.pop()
-            fresh, dashed = True, dashed and kind == "line" and fresh
+            node_start, commented_out = True, commented_out and kind == "line" and node_start
         elif kind == "dash":
-            dashed = dashed or fresh
-        elif kind in ("raw", "q", "hash", "long", "string", "word") and fresh and not token.startswith("("):
+            commented_out = commented_out or node_start
+        elif (
+            kind in ("raw", "q", "hash", "long", "string", "word")
+            and node_start
+            and not token.startswith("(")
+        ):
             name = token.strip('"') if kind in ("long", "string") else token
-            stack[-1].append(Place("" if dashed else name, line))
-            fresh = False
+            stack[-1].append(NodeLine("" if commented_out else name, line))
+            node_start = False
         line += token.count("\n")
-        at += len(token)
+        offset += len(token)
     return top
 
 
-def match(nodes: list[ckdl.Node], found: list[Place]) -> list[Place | None]:
-    """The place of each node: in order, by name; what can't be matched has none."""
-    matched: list[Place | None] = []
-    at = 0
+def match_lines(nodes: list[ckdl.Node], found: list[NodeLine]) -> list[NodeLine | None]:
+    """Returns the position of each node, matched in order by name; None where there is no match."""
+    matched: list[NodeLine | None] = []
+    start = 0
     for node in nodes:
-        there = next((n for n in range(at, len(found)) if found[n].name == node.name), None)
-        matched.append(None if there is None else found[there])
-        at = at if there is None else there + 1
+        index = next((n for n in range(start, len(found)) if found[n].name == node.name), None)
+        matched.append(None if index is None else found[index])
+        start = start if index is None else index + 1
     return matched
 
 
-def broken_line(text: str) -> int:
-    """The line by which the text can't be KDL any more: the first whose prefix is wrong and not only
-    short."""
+def first_invalid_line(text: str) -> int:
+    """Returns the number of the first line up to which the text is invalid KDL, not merely incomplete."""
     lines = text.split("\n")
     for count in range(1, len(lines) + 1):
         try:
@@ -111,67 +120,73 @@
 
 
 class Section:
-    """One node, or the whole file, whose fields are taken out one by one."""
+    """A node of the file, or the whole file, whose child nodes are read as fields one by one."""
 
     def __init__(
-        self, file: str, path: str, line: int, nodes: list[ckdl.Node], found: list[Place],
+        self, file: str, path: str, line: int, nodes: list[ckdl.Node], found: list[NodeLine],
         args: list[object] | None = None,
     ) -> None:  # fmt: skip
         self.file, self.path, self.line = file, path, line
-        self.nodes, self.found = nodes, match(nodes, found)
+        self.nodes, self.positions = nodes, match_lines(nodes, found)
         self.args = args or []
-        self.taken: set[int] = set()
+        self.used: set[int] = set()  # indexes of the nodes that were read
 
-    def fault(self, what: str, name: str = "", line: int = 0) -> Fault:
+    def fault(self, message: str, name: str = "", line: int = 0) -> Fault:
+        """Returns an error about this section or its field `name`, to be raised by the caller."""
         path = ".".join(part for part in (self.path, name) if part)
-        return Fault(self.file, line or self.line, path, what)
+        return Fault(self.file, line or self.line, path, message)
 
-    def at(self, place: int) -> int:
-        found = self.found[place]
+    def line_of(self, index: int) -> int:
+        found = self.positions[index]
         return found.line if found else self.line
 
     def all(self, name: str) -> list[Section]:
-        """Each node of that name."""
+        """Returns every child node of that name."""
         sections = []
-        for place, node in enumerate(self.nodes):
+        for index, node in enumerate(self.nodes):
             if node.name == name:
-                self.taken.add(place)
-                found = self.found[place]
+                self.used.add(index)
+                found = self.positions[index]
                 path = ".".join(part for part in (self.path, name) if part)
                 if node.properties:
-                    raise self.fault("properties (name=value) are not used", name, self.at(place))
-                sections.append(Section(self.file, path, self.at(place), list(node.children),
+                    raise self.fault("properties (name=value) are not used", name, self.line_of(index))
+                sections.append(Section(self.file, path, self.line_of(index), list(node.children),
                                         found.children if found else [], list(node.args)))  # fmt: skip
         return sections
 
     def section(self, name: str) -> Section | None:
+        """Returns the only child node of that name, or None if there is none."""
         found = self.all(name)
         if len(found) > 1:
             raise self.fault("given twice", name, found[1].line)
         return found[0] if found else None
 
-    def value(self, name: str, default: Value, read: Callable[[object], Value], form: str) -> Value:
+    def value(self, name: str, default: Value, convert: Callable[[object], Value], expected: str) -> Value:
+        """Returns the field's only value, as `convert` returns it, or the default if the field is absent.
+
+        `convert` rejects a value by raising ValueError; `expected` describes the allowed values in the error.
+        """
         section = self.section(name)
         if section is None:
             return default
         if len(section.args) != 1 or section.nodes:
-            raise self.fault(f"takes one value, {form}", name, section.line)
+            raise self.fault(f"takes one value, {expected}", name, section.line)
         try:
-            return read(section.args[0])
+            return convert(section.args[0])
         except (TypeError, ValueError, KeyError, OverflowError) as fault:
-            told = f"{section.args[0]!r} is not {form}"
-            raise self.fault(told, name, section.line) from fault
+            message = f"{section.args[0]!r} is not {expected}"
+            raise self.fault(message, name, section.line) from fault
 
     def text(self, name: str, default: str = "") -> str:
-        def read(value: object) -> str:
+        def convert(value: object) -> str:
             if not isinstance(value, str) or not value:
                 raise ValueError
             return value
 
-        return self.value(name, default, read, "a text")
+        return self.value(name, default, convert, "a string")
 
-    def texts(self, name: str, what: str = "text") -> tuple[str, ...]:
-        """A field of one or more texts."""
+    def texts(self, name: str, what: str = "string") -> tuple[str, ...]:
+        """Returns the values of a field that takes one or more strings; `what` names them in errors."""
         found = self.section(name)
         if found is None:
             return ()
@@ -179,67 +194,77 @@
             raise self.fault(f"takes one {what} or more", name, found.line)
         return tuple(str(value) for value in found.args)
 
-    def number(self, name: str, default: float, least: float = 0.0, most: float = 1e12) -> float:
-        def read(value: object) -> float:
-            if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
+    def number(self, name: str, default: float, minimum: float = 0.0, maximum: float = 1e12) -> float:
+        def convert(value: object) -> float:
+            if (
+                isinstance(value, bool)
+                or not isinstance(value, int | float)
+                or not minimum <= value <= maximum
+            ):
                 raise ValueError
             return value
 
-        return self.value(name, default, read, f"a number from {least:g} to {most:g}")
+        return self.value(name, default, convert, f"a number from {minimum:g} to {maximum:g}")
 
     def flag(self, name: str, default: bool) -> bool:
-        def read(value: object) -> bool:
+        def convert(value: object) -> bool:
             if not isinstance(value, bool):
                 raise ValueError
             return value
 
-        return self.value(name, default, read, "#true or #false")
+        return self.value(name, default, convert, "#true or #false")
 
-    def size(self, name: str, default: int, least: int = 0) -> int:
-        return self.value(name, default, lambda value: size(value, least), 'a size such as "64MiB"'
-                          + (f", {least} bytes at least" if least else ""))  # fmt: skip
+    def size(self, name: str, default: int, minimum: int = 0) -> int:
+        """Returns a size in bytes."""
+        return self.value(name, default, lambda value: size(value, minimum), 'a size such as "64MiB"'
+                          + (f", at least {minimum} bytes" if minimum else ""))  # fmt: skip
 
-    def span(self, name: str, default: float, least: float = 0.0) -> float:
-        """Seconds."""
-        return self.value(name, default, lambda value: span(value, least), 'a time such as "90s", "7d"'
-                          + (f", {least:g} s at least" if least else ""))  # fmt: skip
+    def span(self, name: str, default: float, minimum: float = 0.0) -> float:
+        """Returns a duration in seconds."""
+        return self.value(name, default, lambda value: span(value, minimum), 'a duration such as "90s", "7d"'
+                          + (f", at least {minimum:g} s" if minimum else ""))  # fmt: skip
 
     def finish(self) -> None:
-        for place, node in enumerate(self.nodes):
-            if place not in self.taken:
-                raise self.fault("is not a field", node.name, self.at(place))
+        """Raises an error for the first field that was not read: it is unknown."""
+        for index, node in enumerate(self.nodes):
+            if index not in self.used:
+                raise self.fault("is not a field", node.name, self.line_of(index))
 
 
-def size(value: object, least: int = 0) -> int:
+def size(value: object, minimum: int = 0) -> int:
+    """Returns the bytes of a size such as "64MiB"; raises ValueError if it is malformed or too small."""
     found = SIZE.fullmatch(str(value)) if not isinstance(value, bool) else None
-    if not found or (told := int(found[1]) * SIZES[found[2]]) < least:
+    if not found or (parsed := int(found[1]) * UNIT_BYTES[found[2]]) < minimum:
         raise ValueError
-    return told
+    return parsed
 
 
-def span(value: object, least: float = 0.0) -> float:
-    found = SPAN.fullmatch(str(value))
-    if not found or (told := float(found[1]) * SPANS[found[2]]) < least:
+def span(value: object, minimum: float = 0.0) -> float:
+    """Returns the seconds of a duration such as "90s"; raises ValueError if it is malformed or too small."""
+    found = DURATION.fullmatch(str(value))
+    if not found or (parsed := float(found[1]) * UNIT_SECONDS[found[2]]) < minimum:
         raise ValueError
-    return told
+    return parsed
 
 
 def parse(text: str, file: str) -> Section:
+    """Returns the top-level section of a KDL text; `file` is its name in errors."""
     try:
         document = ckdl.parse(text, version=2)
     except ckdl.ParseError as fault:
-        raise Fault(file, broken_line(text), "", f"is not KDL: {fault}") from fault
-    return Section(file, "", 1, list(document.nodes), places(text))
+        raise Fault(file, first_invalid_line(text), "", f"is not valid KDL: {fault}") from fault
+    return Section(file, "", 1, list(document.nodes), node_lines(text))
 
 
 def read(path: str) -> Section:
+    """Returns the top-level section of a file."""
     try:
         with Path(path).open("rb") as stream:
-            data = stream.read(MOST + 1)
+            data = stream.read(MAX_FILE_BYTES + 1)
     except OSError as fault:
         raise Fault(path, 0, "", f"can't be read: {fault.strerror}") from fault
-    if len(data) > MOST:
-        raise Fault(path, 0, "", f"is larger than {MOST} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise Fault(path, 0, "", f"is larger than {MAX_FILE_BYTES} bytes")
     try:
         return parse(data.decode(), path)
     except UnicodeDecodeError as fault:
@@ -248,17 +273,17 @@
 
 
 def shipped(package: str, folder: str) -> list[str]:
-    """Names of the files that a package brings."""
+    """Returns the names of the KDL files that come with a package, without their suffix."""
     entries = (resources.files(package) / folder).iterdir()
     return sorted(entry.name.removesuffix(".kdl") for entry in entries if entry.name.endswith(".kdl"))
 
 
 def find(name: str, package: str, folder: str) -> tuple[str, Section]:
-    """A shipped file or one of the user's own, with the name that it goes by."""
+    """Loads a shipped file by its name, or a user's file by its path; returns its short name and content."""
     if name in (names := shipped(package, folder)):
         text = (resources.files(package) / folder / f"{name}.kdl").read_text()
         return name, parse(text, f"{name}.kdl")
     path = Path(name)
     if not path.suffix and not path.exists():
-        raise Fault(name, 0, "", f"is none of the {folder} ({', '.join(names)}), and no file")
+        raise Fault(name, 0, "", f"not found; shipped {folder}: {', '.join(names)}")
     return path.stem, read(name)
--- a/damsonstream/settings/operator.py
+++ b/damsonstream/settings/operator.py
@@ -1,7 +1,7 @@
-"""The operator's own settings of a gateway: what the platform's configuration does not tell.
+"""The operator's settings of a gateway, which are not part of the platform's configuration.
 
-How it is called: `read(path)` gives `Operator`, or raises `kdl.Fault` with file, line and field. An example
-stands in deploy/operator.example.kdl. Without such a file everything here is off.
+Usage: `read(path)` returns an `Operator`, or raises `kdl.KdlError` with file, line and field. See
+deploy/operator.example.kdl for an example. Without such a file all features configured here are off.
 """
 
 from __future__ import annotations
@@ -13,58 +13,66 @@
 from damsonstream.records.keeper import Limits
 from damsonstream.settings import kdl
 
-LEAST_BYTES = 1 << 20  # of a store: eight segments of 128 KB
-LEAST_AGE = 60.0
+MIN_STORE_BYTES = 1 << 20  # room for eight segments of 128 KB
+MIN_AGE_SECONDS = 60.0
 
 
 @dataclass(slots=True, frozen=True)
 class Records:
-    """Where records are kept, and how much of them; `shift` and `drift` are for trials of wrong clocks."""
+    """Where records are stored and how many are kept.
+
+    `shift` and `drift` falsify the clock of the records, for tests of clock correction.
+    """
 
     folder: Path
     limits: Limits = field(default_factory=Limits)
     shift: float = 0.0  # seconds
-    drift: float = 0.0  # seconds a second
+    drift: float = 0.0  # seconds per second
 
 
 @dataclass(slots=True, frozen=True)
 class Operator:
+    """The settings of one operator file."""
+
     records: Records | None = None
-    peers: frozenset[str] | None = None  # pieces of what gateways decide together; None: each decides alone
-    tiers: Path | None = None  # the hierarchy's file; None: any parent in hash order
+    peers: frozenset[str] | None = None  # enabled features of the peer exchange; None: no exchange with peers
+    tiers: Path | None = None  # file with the cache hierarchy; None: parents are chosen in hash order
 
 
 def records(section: kdl.Section) -> Records:
+    """Reads the section `records`."""
     folder = section.text("folder")
     if not folder:
-        raise section.fault("names no folder", "folder")
+        raise section.fault("is required", "folder")
     default = Limits()
     limits = Limits(
-        section.size("bytes", default.bytes, LEAST_BYTES), section.span("age", default.age, LEAST_AGE)
+        section.size("bytes", default.bytes, MIN_STORE_BYTES),
+        section.span("age", default.age, MIN_AGE_SECONDS),
     )
     shift, drift = 0.0, 0.0
-    if trial := section.section("trial-clock"):
-        shift, drift = trial.number("shift", 0.0, -1e6, 1e6), trial.number("drift", 0.0, -0.01, 0.01)
-        trial.finish()
+    if clock := section.section("trial-clock"):
+        shift, drift = clock.number("shift", 0.0, -1e6, 1e6), clock.number("drift", 0.0, -0.01, 0.01)
+        clock.finish()
     section.finish()
     return Records(Path(folder), limits, shift, drift)
 
 
 def peers(section: kdl.Section) -> frozenset[str]:
-    """Each piece is on unless it stands there as #false."""
-    found = frozenset(name for name in PIECES if section.flag(name, True))
+    """Returns the enabled features: each one is on unless the section sets it to #false."""
+    features = frozenset(name for name in PIECES if section.flag(name, True))
     section.finish()
-    return found
+    return features
 
 
 def read(path: str) -> Operator:
+    """Reads an operator file."""
     top = kdl.read(path)
-    told, gather = top.section("records"), top.section("peers")
-    shape = top.text("tiers")
-    found = Operator(
-        records(told) if told else None,
-        peers(gather) if gather is not None else None,
-        Path(path).parent / shape if shape else None,  # beside this file, where it is no whole path
+    records_section, peers_section = top.section("records"), top.section("peers")
+    hierarchy = top.text("tiers")
+    settings = Operator(
+        records(records_section) if records_section else None,
+        peers(peers_section) if peers_section is not None else None,
+        Path(path).parent / hierarchy if hierarchy else None,  # a relative path starts at this file's folder
     )
     top.finish()
-    return found
+    return settings
