--- a/damsonstream/console/app.py
+++ b/damsonstream/console/app.py
@@ -1,7 +1,7 @@
-"""The console on a terminal, on textual: live, or at any time of what is recorded.
+"""The terminal console, a textual app: shows a fleet live, or at any time of its records.
 
-How it is called: `Console(following, live)` is a textual app; `run()` or `run_async()` shows it. What it
-shows comes from `history.py`, in the words of `text.py`; nothing is reckoned here.
+Usage: `Console(following, live)`, then `run()` or `run_async()`. `history.py` computes the contents and
+`text.py` formats them; this module computes nothing.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from damsonstream.console.history import S, View
 from damsonstream.incident.words import plain
 
-EACH = 0.5  # seconds between looks at the records
+REFRESH_SECONDS = 0.5  # interval at which new records are read
 COLOURS = {
     "Open": "bold red",
     "Half-Open": "yellow",
@@ -35,13 +35,13 @@
 
 
 def styled(cell: str) -> Text:
-    """Words carry the meaning, colour only helps: without colour nothing is lost."""
+    """Colours a cell; the text alone carries the full meaning, for terminals without colour."""
     style = "bold red" if cell.startswith("stale") else COLOURS.get(cell, "")
     return Text(cell, style=style)
 
 
 class Detail(ModalScreen[None]):
-    """One row, looked at closely."""
+    """The details of one row."""
 
     BINDINGS: ClassVar[list[BindingType]] = [("escape", "dismiss", "back"), ("q", "dismiss", "back")]
     CSS = """
@@ -59,10 +59,10 @@
 
 
 class Rows(DataTable[Text], inherit_bindings=False):
-    """A table whose keys leave those that step through time to the console."""
+    """A table without the key bindings that the console uses to step through time."""
 
     BINDINGS: ClassVar[list[BindingType]] = [
-        Binding("enter", "select_cursor", "look closer", show=True),
+        Binding("enter", "select_cursor", "details", show=True),
         Binding("up", "cursor_up", show=False),
         Binding("down", "cursor_down", show=False),
         Binding("pageup", "page_up", show=False),
@@ -71,6 +71,8 @@
 
 
 class Console(App[None]):
+    """The app: tables of gateways, nodes, services, zones and peers, and the latest events."""
+
     TITLE = "damsonstream"
     CSS = """
     #title { height: 1; padding: 0 1; background: $primary; color: $text; text-style: bold; }
@@ -99,8 +101,8 @@
         super().__init__()
         self.following, self.live, self.background = following, live, background
         self.paused = not live
-        self.at = 0  # where it stands while it is paused, 0: at the end
-        self.wanted = ""  # filter
+        self.at = 0  # the displayed time while paused; 0: the end of the records
+        self.filter_text = ""
         self.last_view: View | None = None
 
     def compose(self) -> ComposeResult:
@@ -116,38 +118,44 @@
                 table = Rows(id=name, cursor_type="row", zebra_stripes=False, cell_padding=1)
                 table.add_columns(*head)
                 yield table
-            yield Input(placeholder="only what holds this text; Enter, or Escape for all", id="filter")
+            yield Input(
+                placeholder="show only rows with this text: Enter to apply, Escape for all", id="filter"
+            )
             yield Static("", id="events", markup=False)
         yield Footer(show_command_palette=False)
 
     def on_mount(self) -> None:
-        self.set_interval(EACH, self.look)
-        self.look()
+        self.set_interval(REFRESH_SECONDS, self.refresh_view)
+        self.refresh_view()
         self.query_one("#gateways").focus()
         if self.background is not None:
-            self.work_behind()
+            self.run_background()
 
     @work
-    async def work_behind(self) -> None:
+    async def run_background(self) -> None:
+        """Runs the background task and closes the console when it ends."""
         assert self.background is not None
         await self.background()
         self.exit()
 
-    def look(self) -> None:
+    def refresh_view(self) -> None:
+        """Reads new records and updates the screen."""
         self.following.poll()
         self.show()
 
     def now(self) -> int:
+        """Returns the displayed fleet time."""
         start, end = self.following.history.span()
         if self.paused and self.at:
             return min(max(self.at, start), end)
         return end
 
     def show(self) -> None:
+        """Updates the screen."""
         history = self.following.history
         start, _ = history.span()
-        seen = self.following.silent() if self.live and not (self.paused and self.at) else None
-        view = self.last_view = history.view(self.now(), seen)
+        ages = self.following.silent() if self.live and not (self.paused and self.at) else None
+        view = self.last_view = history.view(self.now(), ages)
         mode = "LIVE" if self.live and not self.paused else "PAUSED" if self.live else "RECORDED"
         title = self.query_one("#title", Static)
         title.update(text.title(view, start, mode))
@@ -160,31 +168,32 @@
         self.query_one("#peers").display = bool(view.peers)
         self.fill("zones", [text.zone(row) for row in view.zones])
         self.query_one("#zones").display = bool(view.zones)
-        shown = [text.event(at, one) for at, one in view.events if self.holds(one.text + one.gateway)]
+        shown = [text.event(at, one) for at, one in view.events if self.matches(one.text + one.gateway)]
         events = self.query_one("#events", Static)
-        wide = max(20, events.size.width - 1)
-        latest = [told[:wide] for told in shown[-max(3, events.size.height) :]]
+        width = max(20, events.size.width - 1)
+        latest = [one[:width] for one in shown[-max(3, events.size.height) :]]
         events.update(Text("\n".join(latest) or "no events", no_wrap=True))
 
-    def holds(self, told: str) -> bool:
-        return self.wanted.lower() in told.lower()
+    def matches(self, text: str) -> bool:
+        """Returns whether a text passes the filter."""
+        return self.filter_text.lower() in text.lower()
 
     def fill(self, name: str, rows: list[tuple[str, ...]]) -> None:
-        """Cells that stay are left alone: a cursor must not jump, nor a slow terminal flicker."""
+        """Updates only changed cells, so that the cursor doesn't jump and slow terminals don't flicker."""
         table = self.query_one(f"#{name}", Rows)
-        rows = [row for row in rows if self.holds(" ".join(row))]
+        rows = [row for row in rows if self.matches(" ".join(row))]
         keys = [row[0] for row in rows]
         if [key.value for key in table.rows] != keys:
-            kept = table.cursor_row
+            cursor = table.cursor_row
             table.clear()
             for key, row in zip(keys, rows, strict=True):
                 table.add_row(*(styled(cell) for cell in row), key=key)
-            table.move_cursor(row=min(kept, len(rows) - 1) if rows else 0)
+            table.move_cursor(row=min(cursor, len(rows) - 1) if rows else 0)
             return
-        for place, row in enumerate(rows):
+        for index, row in enumerate(rows):
             for column, cell in enumerate(row):
-                if str(table.get_cell_at((place, column))) != cell:  # type: ignore[arg-type]
-                    table.update_cell_at((place, column), styled(cell), update_width=True)  # type: ignore[arg-type]
+                if str(table.get_cell_at((index, column))) != cell:  # type: ignore[arg-type]
+                    table.update_cell_at((index, column), styled(cell), update_width=True)  # type: ignore[arg-type]
 
     def action_pause(self) -> None:
         self.paused = not self.paused if self.live else True
@@ -209,7 +218,7 @@
         box.focus()
 
     def on_input_submitted(self, event: Input.Submitted) -> None:
-        self.wanted = event.value
+        self.filter_text = event.value
         event.input.remove_class("shown")
         self.query_one("#gateways").focus()
         self.show()
@@ -217,7 +226,7 @@
     def on_key(self, event: object) -> None:
         if getattr(event, "key", "") == "escape" and self.query_one("#filter").has_class("shown"):
             box = self.query_one("#filter", Input)
-            box.value = self.wanted = ""
+            box.value = self.filter_text = ""
             box.remove_class("shown")
             self.query_one("#gateways").focus()
             self.show()
@@ -227,6 +236,7 @@
             self.push_screen(Detail(self.detail(event.data_table.id or "", event.row_key.value)))
 
     def detail(self, table: str, name: str) -> list[str]:
+        """Returns the lines that describe one row of a table, with its latest events."""
         view = self.last_view
         assert view is not None
         lines = [f"{table[:-1]} {name}", ""]
@@ -234,18 +244,19 @@
             found = next((row for row in view.nodes if plain(row.name, 14) == name), None)
             if found is not None:
                 lines += [
-                    f"{found.role}, listed as {found.listed}, {text.number(found.rate)} forwards a second, "
-                    f"{text.share(found.bad)} end badly",
+                    f"{found.role}, listed as {found.listed}, {text.number(found.rate)} forwards/s, "
+                    f"{text.share(found.bad)} of them fail",
                     "",
                 ]
                 lines += [f"  breaker at {plain(g)}: {found.states.get(g, 'Closed')}" for g in
                           sorted(row.name for row in view.gateways)]  # fmt: skip
-            mine = [pair for pair in view.events if plain(pair[1].node, 14) == name]
+            events = [pair for pair in view.events if plain(pair[1].node, 14) == name]
         elif table == "gateways":
             row = next((row for row in view.gateways if plain(row.name, 14) == name), None)
             if row is not None:
                 lines += [
-                    f"boot {row.boot}, {row.state}, wrote {row.age:.1f} s ago, {row.gaps} records missing",
+                    f"boot {row.boot}, {row.state}, last record {row.age:.1f} s ago, "
+                    f"{row.gaps} records missing",
                     "",
                 ]
                 lines += [
@@ -253,11 +264,11 @@
                     for n in view.nodes
                     if row.name in n.states
                 ]
-            mine = [pair for pair in view.events if plain(pair[1].gateway, 14) == name]
+            events = [pair for pair in view.events if plain(pair[1].gateway, 14) == name]
         else:
-            mine = []
+            events = []
         return (
-            [*lines, "", *(text.event(at, one) for at, one in mine[-40:])]
-            if mine
+            [*lines, "", *(text.event(at, one) for at, one in events[-40:])]
+            if events
             else [*lines, "", "no events"]
         )
--- a/damsonstream/console/follow.py
+++ b/damsonstream/console/follow.py
@@ -1,7 +1,7 @@
-"""Reads a folder of records as it grows, for a console.
+"""Reads a folder of records while gateways write to it, for the console.
 
-How it is called: `Following(folder)`; `poll()` reads what is new and says whether there was anything;
-`history` holds it, `silent()` how long ago each gateway's records grew.
+Usage: `Following(folder)`. `poll()` reads new records into `history` and returns whether there may be more;
+`silent()` returns how many seconds ago each gateway's records grew.
 """
 
 from __future__ import annotations
@@ -15,15 +15,17 @@
 
 
 class Following:
+    """Follows the records of all gateways in one folder."""
+
     def __init__(self, folder: Path, clock: Callable[[], float] = time.monotonic) -> None:
         self.folder, self.clock = folder, clock
         self.history = History()
         self.followers: dict[Path, store.Follower] = {}
         self.names: dict[Path, str] = {}
-        self.grew: dict[str, float] = {}
+        self.last_growth: dict[str, float] = {}  # by gateway, on `clock`
 
     def poll(self) -> bool:
-        """Bounded work: a large store takes several calls, and `True` says that there may be more."""
+        """Reads a bounded number of new records; returns True if there may be more to read."""
         if not self.folder.is_dir():
             return False
         for path in self.folder.iterdir():
@@ -33,19 +35,21 @@
         for path, follower in self.followers.items():
             found = follower.poll()
             if found and path not in self.names:
-                told = {folder: name for name, folder in store.gateways(self.folder).items()}
-                self.names[path] = told.get(path, path.name)
+                names = {folder: name for name, folder in store.gateways(self.folder).items()}
+                self.names[path] = names.get(path, path.name)
             for entry in found:
                 self.history.feed(self.names[path], entry)
             if found:
-                self.grew[self.names[path]] = self.clock()
+                self.last_growth[self.names[path]] = self.clock()
             more |= follower.behind
         return more
 
     def silent(self) -> dict[str, float]:
+        """Returns the seconds since each gateway's records last grew."""
         now = self.clock()
-        return {name: now - at for name, at in self.grew.items()}
+        return {name: now - at for name, at in self.last_growth.items()}
 
     def read_all(self) -> None:
+        """Reads all records that exist now."""
         while self.poll():
             pass
--- a/damsonstream/console/history.py
+++ b/damsonstream/console/history.py
@@ -1,11 +1,12 @@
-"""What a console shows, at any time of a fleet's records. No I/O, no clock of its own.
+"""Computes what the console shows for any time of a fleet's records. No I/O, no clock of its own.
 
-How it is called: `History()` is fed records as they are read (`feed`), and `view(at, seen)` gives the rows
-for one time. Times are tenths of a millisecond; each gateway's records keep the time of its own clock here,
-and a view at a fleet time looks at each gateway's own time for it, so that later knowledge of a clock mends
-what was read before.
+Usage: `feed` adds records to a `History()` as they are read, and `view(at, ages)` returns the rows for one
+time. Times are in tenths of a millisecond. Records are stored with the times of their gateway's own clock; a
+view at a fleet time converts it to each gateway's clock. So a better estimate of a clock also corrects the
+records that were read before.
 
-A gateway is shown as well only while it writes: one that has not for `STALE` is stale, however well it was.
+A gateway counts as up only while it writes records: after `STALE` without any it is stale, whatever its last
+records say.
 """
 
 from __future__ import annotations
@@ -21,89 +22,96 @@
 from damsonstream.records import model
 from damsonstream.records.store import Item, Problem
 
-S = 10_000
-WINDOW = 5 * S  # over which rates are shown: shorter ones jump at a few GETs a second
-# A gateway writes a pulse each second: three that are missing are no busy disk. Also for clocks that are
-# unsure.
+S = 10_000  # ticks of 0.1 ms per second
+WINDOW = 5 * S  # averaging window of rates; shorter ones make low rates jump
+# A gateway writes a pulse record each second; three missing ones are more than a busy disk or an inaccurate
+# clock explains.
 STALE = 3 * S
-TOGETHER = 2 * S  # purges so near are one event: a mass purge would push all else off the screen
-EVENTS = 4000  # kept; the oldest go first
-SIGHTINGS = 2000  # common events kept for the clocks
+PURGE_MERGE_WINDOW = 2 * S  # purges this close form one event; else a mass purge would fill the screen
+MAX_EVENTS = 4000  # the oldest are dropped first
+MAX_SIGHTINGS = 2000  # events seen by several gateways, kept to align their clocks
 OUTCOMES = ("returned", "shed", "errored", "left")
 
 
 @dataclass(slots=True)
 class Event:
+    """One line of the event list."""
+
     at: int  # on its gateway's clock
     gateway: str
     boot: int
     kind: str
     text: str
     node: str = ""
-    count: int = 1  # purges that came together
+    count: int = 1  # number of merged purges
 
 
 @dataclass(slots=True)
 class Boot:
+    """One run of a gateway process, as its records show it."""
+
     number: int
     first: int = 0
     last: int = 0
     stopped: bool = False
-    pulses: list[model.Pulse] = field(default_factory=list)  # one a second; thinned as they grow many
+    pulses: list[model.Pulse] = field(default_factory=list)  # one per second; old ones are thinned out
     gaps: int = 0  # records known to be missing
 
 
 @dataclass(slots=True)
 class Gateway:
+    """What the records say about one gateway, in the times of its own clock."""
+
     name: str
     boots: list[Boot] = field(default_factory=list)
     rates: Rates = field(default_factory=lambda: Rates(S))
-    breakers: dict[str, list[tuple[int, str]]] = field(default_factory=dict)  # by node: when, state
-    open: dict[int, tuple[int, str]] = field(
-        default_factory=dict
-    )  # GETs: taken, service; emptied as they end
+    breakers: dict[str, list[tuple[int, str]]] = field(default_factory=dict)  # by node: time, state
+    # Open GETs by number: arrival time, delivery service.
+    open: dict[int, tuple[int, str]] = field(default_factory=dict)
     services: list[model.Service] = field(default_factory=list)
-    peers: list[model.Peers] = field(default_factory=list)  # one in some seconds; thinned as they grow many
-    zones: list[model.Zones] = field(default_factory=list)  # one a second; thinned as they grow many
+    peers: list[model.Peers] = field(default_factory=list)  # one every few seconds; old ones are thinned out
+    zones: list[model.Zones] = field(default_factory=list)  # one per second; old ones are thinned out
 
 
 @dataclass(slots=True, frozen=True)
 class PeersRow:
-    """What one gateway believes of the others."""
+    """How the peer exchange of one gateway stands, as its latest record says."""
 
     name: str
     standing: str
     silent: list[int]
-    near: float  # its parts of common caps
-    far: float
-    lent: float
-    borrowed: float
-    sent: int
-    heard: int
+    near: float  # its share of the limits of its location
+    far: float  # its share of the limits of the fleet
+    lent: float  # share lent to peers
+    borrowed: float  # share borrowed from peers
+    sent: int  # messages sent
+    heard: int  # messages received
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneRow:
-    """A zone as all gateways believe it, disagreement in plain sight."""
+    """The state of a zone as the gateways see it, including their disagreement."""
 
     name: str
-    states: dict[str, list[str]]  # gateways by what they believe, the most common first
+    states: dict[str, list[str]]  # names of the gateways by the state that they see, the most common first
     flaps: int
-    into: float  # fills a second that spill into it, of all gateways
-    limit: float  # a second, for all; 0: not told
-    out: float  # fills a second that its own caches send elsewhere
+    into: float  # fills per second that spill into it, over all gateways
+    limit: float  # limit of `into`, per second; 0: unknown
+    out: float  # fills per second that its own caches send to other zones
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayRow:
+    """The state of one gateway."""
+
     name: str
     boot: int
     state: str  # up, stale, ended, or not yet
-    age: float  # seconds since it wrote last
-    rate: float  # GETs taken a second
-    in_time: float  # share of those that ended, -1: none did
-    shed: float  # a second
-    errored: float
+    age: float  # seconds since its last record
+    rate: float  # GETs per second that arrived
+    in_time: float  # share of the ended GETs that were returned in time; -1: none ended
+    shed: float  # per second
+    errored: float  # per second
     open: int
     cpu: float  # share of a core
     rss: float  # MB
@@ -112,21 +120,26 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeRow:
+    """The state of one cache, parent or origin, over all gateways."""
+
     name: str
     role: str
     listed: str  # active, leaving or left
-    states: dict[str, str]  # of breakers, by gateway
-    rate: float  # forwards a second
-    bad: float  # share of those that ended badly
-    fills: float  # given as source, a second
+    states: dict[str, str]  # state of its breaker, by gateway
+    rate: float  # forwards per second
+    bad: float  # share of the ended ones that failed
+    fills: float  # successful forwards per second
 
     @property
     def worst(self) -> str:
+        """Returns the worst state of its breakers."""
         return next((s for s in ("Open", "Half-Open") if s in self.states.values()), "Closed")
 
 
 @dataclass(slots=True, frozen=True)
 class ServiceRow:
+    """The rates of one delivery service, over all gateways."""
+
     name: str
     rate: float
     in_time: float
@@ -137,17 +150,19 @@
 
 @dataclass(slots=True, frozen=True)
 class View:
+    """What the console shows for one time."""
+
     at: int
     gateways: list[GatewayRow]
     nodes: list[NodeRow]
     services: list[ServiceRow]
-    events: list[tuple[int, Event]]  # fleet time; the latest last
-    peers: list[PeersRow] = field(default_factory=list)  # of gateways that tell one another anything
-    zones: list[ZoneRow] = field(default_factory=list)  # where a hierarchy is in service
+    events: list[tuple[int, Event]]  # fleet time; the latest is last
+    peers: list[PeersRow] = field(default_factory=list)  # empty without peer exchange
+    zones: list[ZoneRow] = field(default_factory=list)  # empty without a hierarchy of caches
 
     @property
     def worst(self) -> str:
-        """In a word, how the fleet is."""
+        """Returns the state of the fleet in a word: no records, stale, ended, trouble or well (healthy)."""
         if not self.gateways:
             return "no records"
         if any(row.state == "stale" for row in self.gateways):
@@ -160,17 +175,21 @@
 
 
 class History:
+    """Collects the records of a fleet and computes views of them."""
+
     def __init__(self) -> None:
         self.gateways: dict[str, Gateway] = {}
         self.roles: dict[str, str] = {}
-        self.listed: dict[str, list[tuple[str, int, str]]] = {}  # by node: gateway, when, state
-        self.events: deque[Event] = deque(maxlen=EVENTS)
-        self.sightings: deque[Sighting] = deque(maxlen=SIGHTINGS)
-        self.bursts: dict[str, Event] = {}  # the latest purge of each gateway
-        self.clocks, self.sighted = Clocks(), False
-        self.models: tuple[str, str] = ("", "")
+        self.listed: dict[str, list[tuple[str, int, str]]] = {}  # by node: gateway, time, state
+        self.events: deque[Event] = deque(maxlen=MAX_EVENTS)
+        self.sightings: deque[Sighting] = deque(maxlen=MAX_SIGHTINGS)
+        self.last_purges: dict[str, Event] = {}  # by gateway
+        # The alignment of the clocks, and whether there is new evidence since it was computed.
+        self.clocks, self.realign = Clocks(), False
+        self.models: tuple[str, str] = ("", "")  # the models of parents and of the origin
 
     def feed(self, name: str, entry: Item | Problem) -> None:
+        """Adds the next record of a gateway, or a problem that was found in its records."""
         gateway = self.gateways.setdefault(name, Gateway(name))
         if not gateway.boots or gateway.boots[-1].number != entry.boot:
             gateway.boots.append(Boot(entry.boot))
@@ -180,26 +199,26 @@
             if entry.kind not in ("removed", "newer"):
                 boot.gaps += max(1, entry.count)
                 where = f"boot {entry.boot} segment {entry.segment}"
-                self.event(boot.last, name, boot.number, "gap", f"{entry.kind} records in {where}")
+                self.add_event(boot.last, name, boot.number, "gap", f"{entry.kind} records in {where}")
             return
         record = entry.record
         if not boot.first:
             boot.first = record.at
-            self.sighted = True
+            self.realign = True
         boot.last = max(boot.last, record.at)
-        if not self.get(gateway, record):
-            self.news(gateway, boot, record)
+        if not self.count_get(gateway, record):
+            self.process(gateway, boot, record)
 
-    def event(self, at: int, gateway: str, boot: int, kind: str, text: str, node: str = "") -> None:
+    def add_event(self, at: int, gateway: str, boot: int, kind: str, text: str, node: str = "") -> None:
         self.events.append(Event(at, gateway, boot, kind, text, node))
 
-    def get(self, gateway: Gateway, record: model.AnyRecord) -> bool:
-        """Counts what belongs to a GET."""
+    def count_get(self, gateway: Gateway, record: model.AnyRecord) -> bool:
+        """Counts a record that belongs to a GET; returns False for other records."""
         rates = gateway.rates
         match record:
             case model.Taken():
-                told = gateway.services
-                service = told[record.service].name if 0 <= record.service < len(told) else ""
+                services = gateway.services
+                service = services[record.service].name if 0 <= record.service < len(services) else ""
                 gateway.open[record.get] = (record.at, service)
                 rates.add(record.at, ("taken", service))
             case model.Sent():
@@ -210,8 +229,12 @@
             case model.Answered():
                 at, service = gateway.open.pop(record.get, (record.at, ""))
                 rates.add(record.at, (record.outcome, service))
-                told_service = next((s for s in gateway.services if s.name == service), None)
-                if record.outcome == "returned" and told_service and record.at - at > told_service.objective:
+                delivery_service = next((s for s in gateway.services if s.name == service), None)
+                if (
+                    record.outcome == "returned"
+                    and delivery_service
+                    and record.at - at > delivery_service.objective
+                ):
                     rates.add(record.at, ("late", service))
             case model.Left():
                 _, service = gateway.open.pop(record.get, (0, ""))
@@ -223,7 +246,8 @@
                 return False
         return True
 
-    def news(self, gateway: Gateway, boot: Boot, record: model.AnyRecord) -> None:
+    def process(self, gateway: Gateway, boot: Boot, record: model.AnyRecord) -> None:
+        """Stores a record that doesn't belong to a GET, and adds an event if it is worth showing."""
         name, node = gateway.name, ""
         match record:
             case model.Pulse():
@@ -239,13 +263,13 @@
                 if record.standing == before:
                     return
             case model.Zones():
-                same = gateway.zones and [one[:2] for one in gateway.zones[-1].zones] == [
+                unchanged = gateway.zones and [one[:2] for one in gateway.zones[-1].zones] == [
                     one[:2] for one in record.zones
                 ]
                 gateway.zones.append(record)
                 if len(gateway.zones) > 4096:
                     del gateway.zones[:2048:2]
-                if same or all(state == "Well" for _, state, _, _ in record.zones):
+                if unchanged or all(state == "Well" for _, state, _, _ in record.zones):
                     return
             case model.Told() | model.Turn():
                 node = record.node
@@ -258,33 +282,39 @@
                 node = record.node
                 gateway.breakers.setdefault(node, []).append((record.at, record.state))
             case model.Listed():
-                self.list_told(name, record)
+                self.store_list(name, record)
                 if record.number and not record.whole:
                     lines = tuple(sorted((one.cache, one.state, one.since) for one in record.lines))
-                    self.sighting(Sighting((name, boot.number), ("list", lines), record.at))
+                    self.add_sighting(Sighting((name, boot.number), ("list", lines), record.at))
                 node = record.lines[0].cache if len(record.lines) == 1 else ""
             case model.Purge():
                 if not record.number:
                     return
                 event = ("purge", record.thing, record.group, record.issued)
-                self.sighting(Sighting((name, boot.number), event, record.at))
-                last = self.bursts.get(name)
-                if last is not None and record.at - last.at <= TOGETHER and last.boot == boot.number:
+                self.add_sighting(Sighting((name, boot.number), event, record.at))
+                last = self.last_purges.get(name)
+                if (
+                    last is not None
+                    and record.at - last.at <= PURGE_MERGE_WINDOW
+                    and last.boot == boot.number
+                ):
                     last.at, last.count = record.at, last.count + 1
                     last.text = f"{last.count} purges"
                     return
             case model.Dropped():
                 boot.gaps += record.count
         kind = type(record).__name__.lower()
-        self.event(record.at, name, boot.number, kind, line(record), node)
+        self.add_event(record.at, name, boot.number, kind, line(record), node)
         if kind == "purge":
-            self.bursts[name] = self.events[-1]
+            self.last_purges[name] = self.events[-1]
 
-    def sighting(self, one: Sighting) -> None:
+    def add_sighting(self, one: Sighting) -> None:
+        """Stores an event that other gateways may have recorded too, to align the clocks."""
         self.sightings.append(one)
-        self.sighted = True
+        self.realign = True
 
-    def list_told(self, gateway: str, record: model.Listed) -> None:
+    def store_list(self, gateway: str, record: model.Listed) -> None:
+        """Stores the roles and states of nodes from an update of the list."""
         parent, origin = self.models
         for one in record.lines:
             self.roles[one.cache] = {parent: "parent", origin: "origin"}.get(one.model, "cache")
@@ -294,16 +324,16 @@
                 del states[:256]
 
     def aligned(self) -> Clocks:
-        """The clocks as they are known by now; reckoned again once there is more to know."""
-        if self.sighted:
+        """Returns the alignment of the clocks, which is recomputed if there is new evidence."""
+        if self.realign:
             boots = [
                 Told((g.name, b.number), b.first, b.last) for g in self.gateways.values() for b in g.boots
             ]
-            self.clocks, self.sighted = align(list(self.sightings), boots), False
+            self.clocks, self.realign = align(list(self.sightings), boots), False
         return self.clocks
 
     def span(self) -> tuple[int, int]:
-        """Fleet times of the first and the last record."""
+        """Returns the fleet times of the first and the last record."""
         clocks = self.aligned()
         ends = [
             (clocks.fleet((g.name, b.number), b.first), clocks.fleet((g.name, b.number), b.last))
@@ -314,7 +344,7 @@
         return (min(f for f, _ in ends), max(t for _, t in ends)) if ends else (0, 0)
 
     def local(self, gateway: Gateway, at: int) -> int:
-        """A fleet time on a gateway's own clock, by the boot that ran then."""
+        """Converts a fleet time to a gateway's own clock, by the boot that ran then."""
         clocks = self.aligned()
         for boot in reversed(gateway.boots):
             fit = clocks.fits.get((gateway.name, boot.number))
@@ -324,13 +354,17 @@
                     return local
         return at
 
-    def view(self, at: int, seen: Mapping[str, float] | None = None) -> View:
-        """`seen`: live, how many seconds ago each gateway's records grew; else by their own times."""
+    def view(self, at: int, ages: Mapping[str, float] | None = None) -> View:
+        """Returns the view at a fleet time.
+
+        `ages`: for a live view, the seconds since each gateway's records grew; without it the ages are
+        derived from the times of the records.
+        """
         names = sorted(self.gateways)
         gateways = [self.gateways[name] for name in names]
         locals_ = {g.name: self.local(g, at) for g in gateways}
         rows = [
-            self.gateway_row(g, locals_[g.name], None if seen is None else seen.get(g.name)) for g in gateways
+            self.gateway_row(g, locals_[g.name], None if ages is None else ages.get(g.name)) for g in gateways
         ]
         clocks = self.aligned()
         events = []
@@ -344,7 +378,7 @@
         return View(at, rows, nodes, services, events, peers, zones)
 
     def zone_rows(self, gateways: list[Gateway], locals_: dict[str, int]) -> list[ZoneRow]:
-        """Of each gateway that still runs the latest word; rates over the window before."""
+        """Returns the zones, from the latest record of each running gateway; rates are over `WINDOW`."""
         states: dict[str, dict[str, list[str]]] = {}
         flaps: dict[str, int] = {}
         into: defaultdict[str, float] = defaultdict(float)
@@ -352,13 +386,13 @@
         limits: dict[str, float] = {}
         for one in gateways:
             local = locals_[one.name]
-            place = bisect_right([record.at for record in one.zones], local)
-            if not place or local - one.zones[place - 1].at > 2 * STALE:
+            index = bisect_right([record.at for record in one.zones], local)
+            if not index or local - one.zones[index - 1].at > 2 * STALE:
                 continue
-            latest = one.zones[place - 1]
+            latest = one.zones[index - 1]
             for zone, state, progress, flapped in latest.zones:
-                told = f"{state} {progress}/20" if state == "Returning" else state
-                states.setdefault(zone, {}).setdefault(told, []).append(one.name)
+                label = f"{state} {progress}/20" if state == "Returning" else state
+                states.setdefault(zone, {}).setdefault(label, []).append(one.name)
                 flaps[zone] = max(flaps.get(zone, 0), flapped)
             first = bisect_right([record.at for record in one.zones], local - WINDOW)
             before = one.zones[max(0, first - 1)]
@@ -376,26 +410,29 @@
         ]  # fmt: skip
 
     def peers_rows(self, gateways: list[Gateway], locals_: dict[str, int]) -> list[PeersRow]:
+        """Returns the latest state of each gateway's peer exchange."""
         rows = []
         for one in gateways:
-            place = bisect_right([record.at for record in one.peers], locals_[one.name])
-            if place:
-                r = one.peers[place - 1]
+            index = bisect_right([record.at for record in one.peers], locals_[one.name])
+            if index:
+                r = one.peers[index - 1]
                 rows.append(PeersRow(one.name, r.standing, list(r.silent), r.near / 1e6, r.far / 1e6,
                                      r.lent / 1e6, r.borrowed / 1e6, r.sent, r.heard))  # fmt: skip
         return rows
 
     def rate(self, gateway: Gateway, local: int, key: tuple[str, str]) -> float:
+        """Returns a rate per second over the `WINDOW` before a time on the gateway's clock."""
         return gateway.rates.total(key, local - WINDOW, local) / WINDOW * S
 
-    def gateway_row(self, gateway: Gateway, local: int, seen: float | None) -> GatewayRow:
+    def gateway_row(self, gateway: Gateway, local: int, live_age: float | None) -> GatewayRow:
+        """Returns the state of a gateway at a time on its clock; `live_age`: see `ages` of `view`."""
         boot = next((b for b in reversed(gateway.boots) if b.first <= local), None)
         if boot is None:
             return GatewayRow(gateway.name, 0, "not yet", 0.0, 0.0, -1.0, 0.0, 0.0, 0, 0.0, 0.0, 0)
         latest = boot is gateway.boots[-1]
         age = max(0.0, (local - boot.last) / S)
-        if seen is not None and latest:
-            age = seen
+        if live_age is not None and latest:
+            age = live_age
         ended = boot.stopped and local >= boot.last
         state = "ended" if ended else "stale" if age * S > STALE else "up"
         names = ["", *(service.name for service in gateway.services)]
@@ -403,8 +440,8 @@
             o: sum(self.rate(gateway, local, (o, n)) for n in names) for o in (*OUTCOMES, "taken", "late")
         }
         done = sum(sums[o] for o in OUTCOMES)
-        place = bisect_right([pulse.at for pulse in boot.pulses], local)
-        pulses = boot.pulses[max(0, place - 6) : place]
+        index = bisect_right([pulse.at for pulse in boot.pulses], local)
+        pulses = boot.pulses[max(0, index - 6) : index]
         cpu = 0.0
         if len(pulses) > 1 and pulses[-1].at > pulses[0].at:
             cpu = (pulses[-1].cpu - pulses[0].cpu) * 10 / (pulses[-1].at - pulses[0].at)
@@ -425,6 +462,7 @@
         )
 
     def node_rows(self, gateways: list[Gateway], locals_: dict[str, int]) -> list[NodeRow]:
+        """Returns the nodes, the origin first, then parents, then caches."""
         nodes = sorted(
             {node for g in gateways for node in g.breakers} | set(self.roles),
             key=lambda node: (("origin", "parent", "cache").index(self.roles.get(node, "cache")), node),
@@ -432,14 +470,15 @@
         return [self.node_row(node, gateways, locals_) for node in nodes]
 
     def node_row(self, node: str, gateways: list[Gateway], locals_: dict[str, int]) -> NodeRow:
+        """Returns a node; `locals_` holds the displayed time on each gateway's own clock."""
         states, sent, bad, ok = {}, 0.0, 0.0, 0.0
         for gateway in gateways:
             local = locals_[gateway.name]
             boot = next((b for b in reversed(gateway.boots) if b.first <= local), None)
-            turns = gateway.breakers.get(node, [])
-            place = bisect_right(turns, (local, "~"))
-            if place and boot is not None and turns[place - 1][0] >= boot.first:
-                states[gateway.name] = turns[place - 1][1]
+            changes = gateway.breakers.get(node, [])
+            index = bisect_right(changes, (local, "~"))  # "~" sorts after every state
+            if index and boot is not None and changes[index - 1][0] >= boot.first:
+                states[gateway.name] = changes[index - 1][1]
             sent += self.rate(gateway, local, ("sent", node))
             bad += self.rate(gateway, local, ("bad", node))
             ok += self.rate(gateway, local, ("ok", node))
@@ -452,6 +491,7 @@
         )
 
     def service_rows(self, gateways: list[Gateway], locals_: dict[str, int]) -> list[ServiceRow]:
+        """Returns the rates of the delivery services, summed over the gateways."""
         names: dict[str, None] = {}
         for gateway in gateways:
             names.update(dict.fromkeys(service.name for service in gateway.services))
--- a/damsonstream/console/text.py
+++ b/damsonstream/console/text.py
@@ -1,7 +1,7 @@
-"""A view as plain lines, for 80 columns, without colour: what `--once` prints. No I/O.
+"""Formats a view as plain text lines for 80 columns, without colour, as `--once` prints it. No I/O.
 
-How it is called: `lines(view, start, columns)`; the app uses `cells` for its own tables, so that both say the
-same.
+Usage: `lines(view, start, columns)`. The app uses the functions for single rows (`gateway`, `node`, ...) in
+its own tables, so that both show the same.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from damsonstream.console.history import Event, GatewayRow, NodeRow, PeersRow, ServiceRow, View, ZoneRow
 from damsonstream.incident.words import plain
 
-S = 10_000
+S = 10_000  # ticks of 0.1 ms per second
 GATEWAYS = ("gateway", "boot", "state", "GET/s", "in time", "shed/s", "err/s", "open", "CPU", "MB", "gaps")
 NODES = ("node", "role", "listed", "breaker", "GET/s", "bad", "at")
 ZONES = ("zone", "believed", "flaps", "into/s", "limit/s", "out/s")
@@ -21,10 +21,12 @@
 
 
 def clock(at: int) -> str:
+    """Formats a time of day in UTC."""
     return datetime.fromtimestamp(at / S, UTC).strftime("%H:%M:%S")
 
 
 def share(value: float) -> str:
+    """Formats a share as a percentage; a negative one is unknown."""
     return "-" if value < 0 else f"{100 * value:.0f}%"
 
 
@@ -33,7 +35,7 @@
 
 
 def gateway(row: GatewayRow) -> tuple[str, ...]:
-    """A stale one shows how long it has been, and none of the rates that it may no longer have."""
+    """Returns the cells of a gateway; a stale one shows its age and no rates, which may be outdated."""
     state = f"stale {row.age:.0f}s" if row.state == "stale" else row.state
     if row.state != "up":
         return (plain(row.name, 14), str(row.boot or "-"), state, *["-"] * 7, str(row.gaps or ""))
@@ -53,6 +55,7 @@
 
 
 def node(row: NodeRow) -> tuple[str, ...]:
+    """Returns the cells of a node; the last one lists the gateways whose breaker is in the worst state."""
     at = ",".join(
         plain(name, 8) for name, state in sorted(row.states.items()) if state == row.worst != "Closed"
     )
@@ -60,6 +63,7 @@
 
 
 def service(row: ServiceRow) -> tuple[str, ...]:
+    """Returns the cells of a delivery service."""
     return (
         row.name,
         number(row.rate),
@@ -71,52 +75,56 @@
 
 
 def peers(row: PeersRow) -> tuple[str, ...]:
-    """Parts in hundredths; places of the silent ones as they stand in the list of peers."""
+    """Returns the cells of the peer exchange; silent peers are given by their index in the peer list."""
     parts = (f"{100 * part:.1f}%" for part in (row.near, row.far, row.lent, row.borrowed))
     silent = ",".join(map(str, row.silent[:6])) + ("..." if len(row.silent) > 6 else "")
     return (plain(row.name, 14), row.standing, *parts, str(row.sent), str(row.heard), silent)
 
 
 def zone(row: ZoneRow) -> tuple[str, ...]:
-    """What most believe, then who believes something else."""
-    beliefs = [
+    """Returns the cells of a zone: the state that most gateways see, then others with their gateways."""
+    states = [
         state if n == 0 else f"{state}: {','.join(plain(name, 14) for name in names[:4])}"
         + ("..." if len(names) > 4 else "")
         for n, (state, names) in enumerate(row.states.items())
     ]  # fmt: skip
     limit = number(row.limit) if row.limit else "-"
-    return (plain(row.name, 14), "; ".join(beliefs), str(row.flaps), number(row.into), limit, number(row.out))
+    return (plain(row.name, 14), "; ".join(states), str(row.flaps), number(row.into), limit, number(row.out))
 
 
 def event(at: int, one: Event) -> str:
+    """Formats an event as one line."""
     return f"{clock(at)} {plain(one.gateway, 10)} {plain(one.text, 200)}"
 
 
 def table(head: Sequence[str], rows: Sequence[Sequence[str]], columns: int) -> list[str]:
+    """Returns the lines of a table, cut to `columns` characters; numbers are aligned to the right."""
     widths = [max(len(cell) for cell in column) for column in zip(head, *rows, strict=True)]
-    made = []
-    for place, row in enumerate((head, *rows)):
+    lines = []
+    for index, row in enumerate((head, *rows)):
         cells = [
             c.ljust(w) if n == 0 or not numeric(head[n]) else c.rjust(w)
             for n, (c, w) in enumerate(zip(row, widths, strict=True))
         ]
-        made.append("  ".join(cells).rstrip()[:columns])
-        if place == 0:
-            made.append("-" * min(columns, sum(widths) + 2 * len(widths) - 2))
-    return made
+        lines.append("  ".join(cells).rstrip()[:columns])
+        if index == 0:
+            lines.append("-" * min(columns, sum(widths) + 2 * len(widths) - 2))
+    return lines
 
 
-NUMBERS = (
+NUMERIC_COLUMNS = (
     "in time", "open", "CPU", "MB", "gaps", "boot", "bad", "late", "near", "all", "lent",
     "borrowed", "told", "heard", "flaps",
 )  # fmt: skip
 
 
 def numeric(name: str) -> bool:
-    return name.endswith("/s") or name in NUMBERS
+    """Returns whether the column of this name holds numbers."""
+    return name.endswith("/s") or name in NUMERIC_COLUMNS
 
 
 def title(view: View, start: int, mode: str) -> str:
+    """Returns the first line: time, mode and state of the fleet."""
     up = sum(row.state == "up" for row in view.gateways)
     rate = sum(row.rate for row in view.gateways if row.state == "up")
     return (
@@ -126,15 +134,16 @@
 
 
 def lines(view: View, start: int, columns: int = 80, mode: str = "once", events: int = 8) -> list[str]:
-    made = [title(view, start, mode)[:columns], ""]
-    made += [*table(GATEWAYS, [gateway(row) for row in view.gateways], columns), ""]
+    """Returns the whole view, with the latest `events` events."""
+    output = [title(view, start, mode)[:columns], ""]
+    output += [*table(GATEWAYS, [gateway(row) for row in view.gateways], columns), ""]
     nodes = sorted(view.nodes, key=lambda row: (row.worst == "Closed", row.bad == 0))[:16]
-    made += [*table(NODES, [node(row) for row in nodes], columns), ""]
+    output += [*table(NODES, [node(row) for row in nodes], columns), ""]
     if view.services:
-        made += [*table(SERVICES, [service(row) for row in view.services], columns), ""]
+        output += [*table(SERVICES, [service(row) for row in view.services], columns), ""]
     if view.zones:
-        made += [*table(ZONES, [zone(row) for row in view.zones], columns), ""]
+        output += [*table(ZONES, [zone(row) for row in view.zones], columns), ""]
     if view.peers:
-        made += [*table(PEERS, [peers(row) for row in view.peers], columns), ""]
-    made += [event(at, one)[:columns] for at, one in view.events[-events:]] or ["no events"]
-    return made
+        output += [*table(PEERS, [peers(row) for row in view.peers], columns), ""]
+    output += [event(at, one)[:columns] for at, one in view.events[-events:]] or ["no events"]
+    return output
--- a/damsonstream/report/charts.py
+++ b/damsonstream/report/charts.py
@@ -1,7 +1,8 @@
-"""Charts of an incident, as SVG that stands inside a page. No files.
+"""Draws the charts of an incident as SVG to be embedded in an HTML page. Writes no files.
 
-How it is called: each function takes an `Incident` and returns SVG text. Drawn by matplotlib; times are
-seconds since the incident's start. Text stays text, so that a page can be searched and printed.
+Usage: each chart function takes an `Incident` and returns SVG text, drawn by matplotlib. Times are seconds
+since the start of the incident. Labels remain text in the SVG, so that the page can be searched
+and printed.
 """
 
 from __future__ import annotations
@@ -37,10 +38,10 @@
         "legend.frameon": False,
     }
 )
-from matplotlib.figure import Figure  # noqa: E402  (the backend is chosen first)
+from matplotlib.figure import Figure  # noqa: E402  (the backend must be selected before this import)
 
-S = 10_000
-WIDE = 10.4  # inches
+S = 10_000  # ticks of 0.1 ms per second
+WIDTH_INCHES = 10.4
 COLOURS = {
     "purge": "#7b5ea7",
     "drain": "#5b8db8",
@@ -63,86 +64,94 @@
     ("left", "#8d99ae"),
 )
 LINES = ("#3c8d9e", "#7b5ea7", "#e9a03b", "#c8553d", "#4f9d69", "#3d4752")
-MOST_ROWS = 24  # of a timeline: more can't be read
+MAX_ROWS = 24  # more rows of a timeline are not readable
 
 
-def figure(high: float) -> tuple[Figure, Any]:
-    whole = Figure(figsize=(WIDE, high), layout="constrained")
-    return whole, whole.subplots()
+def figure(height: float) -> tuple[Figure, Any]:
+    """Returns a figure of this height in inches, and its axes."""
+    drawing = Figure(figsize=(WIDTH_INCHES, height), layout="constrained")
+    return drawing, drawing.subplots()
 
 
 def logarithmic(*axes: Any) -> None:
-    """Labels in plain text: names may hold what the library would take for formulas, so that it reads
-    none."""
+    """Formats the tick labels as plain text, because the parsing of formulas is switched off.
+
+    It is off because names may contain characters that matplotlib would read as a formula.
+    """
     for one in axes:
         one.set_major_formatter(lambda value, _: short(value))
 
 
 def short(value: float) -> str:
+    """Formats a number with the unit prefix G, M or k."""
     for limit, unit in ((1e9, "G"), (1e6, "M"), (1e3, "k")):
         if value >= limit:
             return f"{value / limit:g}{unit}"
     return f"{value:g}"
 
 
-def svg(whole: Figure, title: str) -> str:
+def svg(drawing: Figure, title: str) -> str:
+    """Returns the figure as an SVG element."""
     out = io.StringIO()
-    whole.savefig(out, format="svg", metadata={"Date": None, "Creator": None, "Title": plain(title)})
+    drawing.savefig(out, format="svg", metadata={"Date": None, "Creator": None, "Title": plain(title)})
     text = out.getvalue()
     return text[text.index("<svg") :]
 
 
 def since(incident: Incident) -> Any:
+    """Returns a function that converts a fleet time to seconds since the start of the incident."""
     start = incident.span[0]
     return lambda at: (at - start) / S
 
 
 def axis(incident: Incident, axes: Any) -> None:
+    """Sets up the time axis."""
     start, end = incident.span
     axes.set_xlim(0, max(1.0, (end - start) / S))
     axes.set_xlabel("seconds since the start")
 
 
 def timeline(incident: Incident) -> str:
-    """Phases as bars, gateways as rows with their gaps in plain sight."""
+    """Draws phases as bars, and a row for each gateway that shows its boots and gaps."""
     at = since(incident)
     rows: list[tuple[str, list[Phase]]] = []
     for phase in incident.phases:
         if phase.kind in ("gap", "restart"):
             continue
         label = f"{phase.kind}: {plain(phase.subject, 34)}" if phase.subject != "fleet" else phase.kind
-        mine = next((found for name, found in rows if name == label), None)
-        if mine is None:
+        same_row = next((found for name, found in rows if name == label), None)
+        if same_row is None:
             rows.append((label, [phase]))
         else:
-            mine.append(phase)
-    hidden = max(0, len(rows) - MOST_ROWS)
-    rows = rows[:MOST_ROWS]
-    gateways = sorted({boot.gateway for boot in incident.boots})[:MOST_ROWS]
-    whole, axes = figure(0.9 + 0.3 * (len(rows) + len(gateways)))
-    least = max(
-        0.15, (incident.span[1] - incident.span[0]) / S / 300
-    )  # what is at one instant can be seen too
+            same_row.append(phase)
+    hidden = max(0, len(rows) - MAX_ROWS)
+    rows = rows[:MAX_ROWS]
+    gateways = sorted({boot.gateway for boot in incident.boots})[:MAX_ROWS]
+    drawing, axes = figure(0.9 + 0.3 * (len(rows) + len(gateways)))
+    # Bars have a minimum length, so that phases without duration are visible too.
+    min_length = max(0.15, (incident.span[1] - incident.span[0]) / S / 300)
     labels = []
     for row, (label, phases) in enumerate(rows):
         labels.append(label)
         for phase in phases:
-            long = max(least, at(phase.end) - at(phase.start))
-            axes.barh(row, long, left=at(phase.start), height=0.62, color=COLOURS[phase.kind],
+            length = max(min_length, at(phase.end) - at(phase.start))
+            axes.barh(row, length, left=at(phase.start), height=0.62, color=COLOURS[phase.kind],
                       hatch="//" if phase.open else None, edgecolor="white", linewidth=0.5)  # fmt: skip
-    for place, name in enumerate(gateways):
-        row = len(rows) + place
+    for index, name in enumerate(gateways):
+        row = len(rows) + index
         labels.append(f"gateway {plain(name, 34)}")
         for boot in incident.boots:
             if boot.gateway != name or not boot.records:
                 continue
             start, end = (at(incident.clocks.fleet(boot.gateway_boot, t)) for t in (boot.first, boot.last))
-            axes.barh(row, max(least, end - start), left=start, height=0.4, color="#a9c7b2")
-            axes.text(start + least, row, f"boot {boot.number}", va="center", fontsize=7.5, color="#274233")
+            axes.barh(row, max(min_length, end - start), left=start, height=0.4, color="#a9c7b2")
+            axes.text(
+                start + min_length, row, f"boot {boot.number}", va="center", fontsize=7.5, color="#274233"
+            )
         for phase in incident.phases:
             if phase.kind in ("gap", "restart") and phase.subject == f"gateway {name}":
-                long = max(least, at(phase.end) - at(phase.start))
-                axes.barh(row, long, left=at(phase.start), height=0.62, facecolor="white", hatch="xxx",
+                length = max(min_length, at(phase.end) - at(phase.start))
+                axes.barh(row, length, left=at(phase.start), height=0.62, facecolor="white", hatch="xxx",
                           edgecolor="#b33951", linewidth=0.8)  # fmt: skip
     axes.set_yticks(range(len(labels)), labels)
     axes.set_ylim(len(labels) - 0.4, -0.6)
@@ -150,11 +159,11 @@
     axis(incident, axes)
     if hidden:
         axes.set_title(f"{hidden} more rows are in the table", fontsize=8.5, loc="right")
-    return svg(whole, "Phases and gateways over time")
+    return svg(drawing, "Phases and gateways over time")
 
 
 def rates(incident: Incident) -> str:
-    """GETs a second by outcome, stacked."""
+    """Draws GETs per second by outcome, stacked."""
     watch, at = incident.watch, since(incident)
     names, width = ("", *watch.services), watch.rates.width / S
     sums: dict[str, list[float]] = {}
@@ -166,21 +175,21 @@
             sum(values) / width for values in zip(*([v for _, v in one] for one in series), strict=True)
         ]
     sums["in time"] = [a - b for a, b in zip(sums["returned"], sums["late"], strict=True)]
-    whole, axes = figure(2.7)
+    drawing, axes = figure(2.7)
     if times:
         stacked = [sums[name] for name, _ in OUTCOMES]
         axes.stackplot([t + width / 2 for t in times], *stacked, labels=[name for name, _ in OUTCOMES],
                        colors=[colour for _, colour in OUTCOMES], linewidth=0)  # fmt: skip
-    axes.set_ylabel("GETs a second")
+    axes.set_ylabel("GETs per second")
     axes.set_ylim(bottom=0)
     axis(incident, axes)
     axes.legend(loc="upper center", bbox_to_anchor=(0.5, 1.16), ncols=5, fontsize=8.5)
     shade(incident, axes)
-    return svg(whole, "GETs a second by outcome")
+    return svg(drawing, "GETs per second by outcome")
 
 
 def shade(incident: Incident, axes: Any) -> None:
-    """Where a gateway's records are missing, a chart has less than there was."""
+    """Marks the times for which records of a gateway are missing, where the chart shows too little."""
     at = since(incident)
     for phase in incident.phases:
         if phase.kind in ("gap", "restart"):
@@ -189,16 +198,16 @@
 
 
 def latency(incident: Incident) -> str:
-    """Median and 95th percentile of returned GETs, by delivery service."""
+    """Draws the median and the 95th percentile of the latency of returned GETs, by delivery service."""
     watch, at = incident.watch, since(incident)
-    whole, axes = figure(2.7)
-    for place, name in enumerate(list(watch.services)[: len(LINES)]):
+    drawing, axes = figure(2.7)
+    for index, name in enumerate(list(watch.services)[: len(LINES)]):
         for share, style in ((0.5, "-"), (0.95, ":")):
             points = list(watch.latencies.series(name, share))
             if points:
-                axes.plot([at(t) for t, _ in points], [v for _, v in points], style, color=LINES[place],
+                axes.plot([at(t) for t, _ in points], [v for _, v in points], style, color=LINES[index],
                           linewidth=1.6 if style == "-" else 1.3,
-                          label=f"{plain(name, 24)} {'median' if style == '-' else '95%'}")  # fmt: skip
+                          label=f"{plain(name, 24)} {'median' if style == '-' else 'p95'}")  # fmt: skip
     axes.set_yscale("log")
     logarithmic(axes.yaxis)
     axes.set_ylabel("milliseconds")
@@ -206,19 +215,19 @@
     shade(incident, axes)
     if axes.lines:
         axes.legend(loc="upper center", bbox_to_anchor=(0.5, 1.26), ncols=3, fontsize=8)
-    return svg(whole, "Time to the final answer")
+    return svg(drawing, "Latency to the final answer")
 
 
 def sources(incident: Incident) -> str:
-    """First bytes of fills by source, median."""
+    """Draws the median time to first byte of fills, by source."""
     watch, at = incident.watch, since(incident)
-    whole, axes = figure(2.5)
-    for place, node in enumerate(sorted(watch.sources.whole)[: len(LINES)]):
+    drawing, axes = figure(2.5)
+    for index, node in enumerate(sorted(watch.sources.whole)[: len(LINES)]):
         points = list(watch.sources.series(node, 0.5))
         axes.plot(
             [at(t) for t, _ in points],
             [v for _, v in points],
-            color=LINES[place],
+            color=LINES[index],
             linewidth=1.4,
             marker=".",
             markersize=3,
@@ -226,39 +235,40 @@
         )
     axes.set_yscale("log")
     logarithmic(axes.yaxis)
-    axes.set_ylabel("first byte, ms")
+    axes.set_ylabel("time to first byte, ms")
     axis(incident, axes)
     if axes.lines:
         axes.legend(loc="upper center", bbox_to_anchor=(0.5, 1.18), ncols=4, fontsize=8)
-    return svg(whole, "First bytes of fills by source")
+    return svg(drawing, "Time to first byte of fills by source")
 
 
 def breakers(incident: Incident) -> str:
-    """States of breakers that ever changed, a row for each gateway and node."""
+    """Draws the states of all breakers that changed, with a row for each gateway and node."""
     watch, at = incident.watch, since(incident)
     ends = {b.gateway_boot: incident.clocks.fleet(b.gateway_boot, b.last) for b in incident.boots}
     rows: dict[tuple[str, int, str], list[Any]] = {}
-    for turn in sorted(watch.turns, key=lambda turn: turn.at):
-        rows.setdefault((turn.gateway, turn.boot, turn.record.node), []).append(turn)
-    shown = sorted(rows)[:MOST_ROWS]
-    whole, axes = figure(0.9 + 0.26 * max(1, len(shown)))
+    for change in sorted(watch.turns, key=lambda change: change.at):
+        rows.setdefault((change.gateway, change.boot, change.record.node), []).append(change)
+    shown = sorted(rows)[:MAX_ROWS]
+    drawing, axes = figure(0.9 + 0.26 * max(1, len(shown)))
     for row, key in enumerate(shown):
-        turns = rows[key]
-        for turn, following in zip(turns, [*turns[1:], None], strict=True):
-            if turn.record.state == "Closed":
+        changes = rows[key]
+        for change, following in zip(changes, [*changes[1:], None], strict=True):
+            if change.record.state == "Closed":
                 continue
-            end = following.at if following else ends.get(key[:2], turn.at)
-            axes.barh(row, max(0.1, at(end) - at(turn.at)), left=at(turn.at), height=0.6,
-                      color=COLOURS["open" if turn.record.state == "Open" else "half-open"])  # fmt: skip
+            end = following.at if following else ends.get(key[:2], change.at)
+            axes.barh(row, max(0.1, at(end) - at(change.at)), left=at(change.at), height=0.6,
+                      color=COLOURS["open" if change.record.state == "Open" else "half-open"])  # fmt: skip
     labels = [f"{plain(g, 16)}: {watch.roles.get(node, '')} {plain(node, 24)}" for g, _, node in shown]
     axes.set_yticks(range(len(labels)), labels)
     axes.set_ylim(max(1, len(labels)) - 0.4, -0.6)
     axes.grid(axis="y", visible=False)
     axis(incident, axes)
-    return svg(whole, "Breakers that opened")
+    return svg(drawing, "Breakers that opened")
 
 
 def all_charts(incident: Incident) -> dict[str, str]:
+    """Returns the charts by name; charts without data are omitted."""
     drawn: dict[str, str] = {
         "timeline": timeline(incident),
         "rates": rates(incident),
@@ -272,7 +282,7 @@
 
 
 def own_ids(text: str, name: str) -> str:
-    """Ids of several charts on one page must differ."""
+    """Prefixes the ids of a chart with its name, because ids must be unique within the page."""
     for before, after in (
         ('id="', f'id="{name}-'),
         ('href="#', f'href="#{name}-'),
@@ -283,4 +293,5 @@
 
 
 def kinds(phases: Iterable[Phase]) -> list[tuple[str, str]]:
+    """Returns the kinds of the phases that occur, with their colours."""
     return [(kind, colour) for kind, colour in COLOURS.items() if any(phase.kind == kind for phase in phases)]
