--- a/damsonstream/settings/operator.py
+++ b/damsonstream/settings/operator.py
@@ -43,7 +43,7 @@
     """Reads the section `records`."""
     folder = section.text("folder")
     if not folder:
-        raise section.fault("is required", "folder")
+        raise section.fault("is missing", "folder")
     default = Limits()
     limits = Limits(
         section.size("bytes", default.bytes, MIN_STORE_BYTES),
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,5 +1,5 @@
-"""Drawn cases are the same ones on every run: CI gives one verdict. To look for new ones:
-HYPOTHESIS_PROFILE=search."""
+"""Hypothesis generates the same cases on every run, so that the result of CI is reproducible. To search for
+new failing cases, set HYPOTHESIS_PROFILE=search."""
 
 import os
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,4 +1,4 @@
-"""The tools as they are used: settings in KDL, the command line, the console, a whole play of the demo."""
+"""Tests of the tools: settings in KDL, the command line, the console and a complete run of the demo."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def run(*arguments: str) -> tuple[int, str]:
-    """Exit code and all that was printed."""
+    """Runs a command; returns its exit code and everything that it printed."""
     out = io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(out):
         try:
@@ -46,23 +46,23 @@
 
 
 class Settings(TraceCase):
-    def test_faults_name_file_line_and_field(self) -> None:
-        told = list[str]()
+    def test_errors_name_file_line_and_field(self) -> None:
+        output = list[str]()
         files = {
             "good": 'records {\n  folder "/var/x" // where\n  bytes "1GiB"; age "36h"\n}',
-            "nothing": "// all off\n/- records { folder 5 }\n",
+            "no settings": "// all off\n/- records { folder 5 }\n",
             "no folder": "\n\nrecords {\n  bytes \"4MiB\"\n}",
             "a size": '/* two\nlines */ records {\n  folder "x"\n  bytes "4 MB"\n}',
             "too small": 'records { folder "x"; bytes "4KiB"; }',
-            "a number for a text": 'records {\n  folder 5\n}',
+            "a number for a string": 'records {\n  folder 5\n}',
             "unknown": 'records {\n  folder "x"\n  colour "red"\n}',
             "unknown at the top": 'records { folder "x"; }\nrecord {}\n',
             "twice": 'records { folder "x"; }\n\nrecords { folder "y"; }',
             "a property": 'records a=1 { folder "x"; }',
             "two values": 'records {\n  folder "x" "y"\n}',
-            "a text over lines": 'records {\n  folder """\n  a\n  """\n  age 7\n}',
-            "raw text before": 'records {\n  folder #"a " // b"#\n  age "7"\n}',
-            "no KDL": 'records {\n  folder "x"\n  age = "7d"\n}',
+            "a multi-line string": 'records {\n  folder """\n  a\n  """\n  age 7\n}',
+            "a raw string before": 'records {\n  folder #"a " // b"#\n  age "7"\n}',
+            "not KDL": 'records {\n  folder "x"\n  age = "7d"\n}',
             "not closed": 'records {\n  folder "x"\n',
             "not UTF-8": None,
         }  # fmt: skip
@@ -73,18 +73,18 @@
                 try:
                     found = operator.read(str(path))
                     limits = found.records and (found.records.limits.bytes, found.records.limits.age)
-                    told.append(f"{name}: {found.records and found.records.folder} {limits}")
+                    output.append(f"{name}: {found.records and found.records.folder} {limits}")
                 except kdl.Fault as fault:
-                    told.append(f"{name}: {str(fault).replace(folder, '')}")
+                    output.append(f"{name}: {str(fault).replace(folder, '')}")
             path.unlink()
             try:
                 operator.read(str(path))
             except kdl.Fault as fault:
-                told.append(f"no file: {str(fault).replace(folder, '')}")
-        self.check("operator", told)
+                output.append(f"no file: {str(fault).replace(folder, '')}")
+        self.check("operator", output)
 
-    def test_scenarios_are_checked_before_anything_starts(self) -> None:
-        told = list[str]()
+    def test_invalid_scenario_steps_are_rejected_when_loaded(self) -> None:
+        output = list[str]()
         steps = {
             "no time": 'does "purge"', "no such step": 'at "1s"; does "flood"',
             "no such node": 'at "1s"; does "slow"; to "hub-9"; lasts "1s"',
@@ -96,16 +96,16 @@
         for name, step in steps.items():
             try:
                 found = scenario.scenario("own", kdl.parse(f"step {{ {step}; }}", "own.kdl"))
-                told.append(f"{name}: {found.steps}")
+                output.append(f"{name}: {found.steps}")
             except kdl.Fault as fault:
-                told.append(f"{name}: {fault}")
-        told += [f"shipped: {name}, {scenario.load(name).lasts:g} s" for name in scenario.shipped()]
-        self.check("scenarios", told)
+                output.append(f"{name}: {fault}")
+        output += [f"shipped: {name}, {scenario.load(name).lasts:g} s" for name in scenario.shipped()]
+        self.check("scenarios", output)
 
 
 class CommandLine(TraceCase):
-    def test_exit_codes(self) -> None:
-        told = list[str]()
+    def test_exit_codes_and_last_lines(self) -> None:
+        output = list[str]()
         with tempfile.TemporaryDirectory() as folder:
             for arguments in (
                 (), ("--help",), ("version",), ("--version",), ("nonsense",), ("serve", "--config", "/none"),
@@ -116,20 +116,21 @@
             ):  # fmt: skip
                 code, out = run(*arguments)
                 first = (out.strip().splitlines() or ["nothing"])[-1].replace(folder, "FOLDER")
-                told.append(
+                output.append(
                     f"{' '.join(arguments).replace(folder, 'FOLDER') or 'nothing'}: {code}, {first[:90]}"
                 )
-        self.check("command-line", told)
+        self.check("command-line", output)
 
 
-class TheConsole(TraceCase):
+class ConsoleScreens(TraceCase):
     def history(self) -> History:
+        """A history of two gateways, with the clock of the second one 3 s ahead."""
         history = History()
         for name, shift in (("n1", 0), ("n2\x1b[2J", 3 * S)):
             script = Script(name=name)
-            for place in range(20):
-                script.add(model_pulse(place))
-                script.whole((2 + place) * S, took=100, outcome="shed" if place > 15 else "returned")
+            for second in range(20):
+                script.add(model_pulse(second))
+                script.whole((2 + second) * S, took=100, outcome="shed" if second > 15 else "returned")
             script.add(model.Purge(6 * S, 3, "", 4, 6 * S))
             script.add(model.Purge(6 * S + 10, 4, "", 5, 6 * S))
             script.add(model.Breaker(15 * S, "parent", "p1", "Open", 5, 9, 6.5))
@@ -146,64 +147,64 @@
                 history.feed(name, entry)
         return history
 
-    def test_steps_through_time_and_shows_what_is_stale(self) -> None:
-        history, told = self.history(), list[str]()
+    def test_views_at_several_times_and_stale_gateways(self) -> None:
+        history, output = self.history(), list[str]()
         start, end = history.span()
-        for at, seen in ((start + 10 * S, None), (end, None), (end, {"n1": 0.3, "n2\x1b[2J": 9.0}),
+        for at, ages in ((start + 10 * S, None), (end, None), (end, {"n1": 0.3, "n2\x1b[2J": 9.0}),
                          (end + 60 * S, None)):  # fmt: skip
-            view = history.view(at, seen)
-            told += [f"== {(at - start) / S:.0f} s, {view.worst}", *text.lines(view, start, 80, "test")[1:]]
-        self.assertLessEqual(max(map(len, told)), 80)
-        self.assertNotIn("\x1b", "".join(told))
-        self.check("console", told)
+            view = history.view(at, ages)
+            output += [f"== {(at - start) / S:.0f} s, {view.worst}", *text.lines(view, start, 80, "test")[1:]]
+        self.assertLessEqual(max(map(len, output)), 80)
+        self.assertNotIn("\x1b", "".join(output))
+        self.check("console", output)
 
     def test_on_a_terminal_of_80_by_24(self) -> None:
-        """Keys, as a user presses them; the screen is asked what it shows."""
+        """Presses keys as a user would, and checks what the screen shows."""
         with tempfile.TemporaryDirectory() as folder:
             following = Following(Path(folder))
             following.history = self.history()
-            told = list[str]()
+            output = list[str]()
 
             async def press() -> None:
                 app = Console(following, live=False)
                 async with app.run_test(size=(80, 24)) as pilot:
 
-                    def say(what: str) -> None:
+                    def note(what: str) -> None:
                         assert app.last_view is not None
                         first = following.history.span()[0]
                         rows = [str(app.query_one("#gateways").row_count)]  # type: ignore[attr-defined]
-                        told.append(f"{what}: at {(app.last_view.at - first) / S:.0f} s, {rows[0]} gateways, "
-                                    f"{type(app.screen).__name__}")  # fmt: skip
+                        output.append(f"{what}: at {(app.last_view.at - first) / S:.0f} s, {rows[0]} "
+                                      f"gateways, {type(app.screen).__name__}")  # fmt: skip
 
-                    say("start")
+                    note("start")
                     for key in ("home", "full_stop", "right", "left", "left"):
                         await pilot.press(key)
-                        say(key)
+                        note(key)
                     await pilot.press("enter")
                     await pilot.pause()
-                    say("enter")
+                    note("enter")
                     await pilot.press("escape")
                     await pilot.press("slash", *"n1", "enter")
                     await pilot.pause()
-                    say("only n1")
+                    note("only n1")
                     await pilot.press("slash", "escape", "end")
                     await pilot.pause()
-                    say("all again, end")
+                    note("all again, end")
 
             anyio.run(press)
-        self.check("console-keys", told)
+        self.check("console-keys", output)
 
 
-def model_pulse(place: int) -> model.Pulse:
-    at = (2 + place) * S
-    return model.Pulse(at, at, 3, 100 * place, 30_000)
+def model_pulse(second: int) -> model.Pulse:
+    at = (2 + second) * S
+    return model.Pulse(at, at, 3, 100 * second, 30_000)
 
 
 class Checker(TraceCase):
-    """The demo's checker, against reports that are wrong in one way each."""
+    """Passes the demo's checker reports that are wrong in one way each."""
 
-    def test_each_way_a_report_may_be_wrong(self) -> None:
-        told, began = list[str](), 1000.0
+    def test_each_kind_of_wrong_report_is_noticed(self) -> None:
+        results, began = list[str](), 1000.0
         kill = scenario.Step(5, "kill", "n1", 2)
         slow = scenario.Step(2, "slow", "vault", 4)
         phases = [
@@ -220,38 +221,38 @@
                      Try("c", "n1", "pages", "7f", 4.9, 0, "returned", 0.05, answers=1)]  # fmt: skip
             return Truth(steps, tries, [("n1", began + 5)], began=began, uids={"vault": "s-6"}, **changes)
 
-        def seen(**changes: Any) -> dict[str, Any]:
+        def gets(**changes: Any) -> dict[str, Any]:
             kept = {"a": ("n1", ["returned"], "once"), "b": ("n1", [], "crash")}
             return {name: Recorded(*one) for name, one in {**kept, **changes}.items() if one}
 
         torn = {"gateway": "n1", "boot": 1, "kind": "torn", "records": -1}
         cases: dict[str, tuple[dict[str, Any], dict[str, Any], Truth]] = {
-            "right": (good, seen(), truth()),
-            "torn as it was killed": ({**good, "problems": [torn]}, seen(), truth()),
-            "an answer is missing": (good, seen(a=None), truth()),
-            "an answer is there twice": (good, seen(a=("n1", ["returned", "returned"], "twice")), truth()),
-            "another outcome": (good, seen(a=("n1", ["shed"], "once")), truth()),
-            "a GET that nobody sent": (good, seen(z=("n1", ["shed"], "once")), truth()),
-            "records are missing": ({**good, "problems": [{**torn, "kind": "lost"}]}, seen(), truth()),
-            "no gap": ({**good, "phases": phases[1:]}, seen(), truth()),
-            "too late": ({**good, "phases": [phases[0], {**phases[1], "end": 1007.3}]}, seen(), truth()),
+            "right": (good, gets(), truth()),
+            "torn as it was killed": ({**good, "problems": [torn]}, gets(), truth()),
+            "an answer is missing": (good, gets(a=None), truth()),
+            "an answer is there twice": (good, gets(a=("n1", ["returned", "returned"], "twice")), truth()),
+            "another outcome": (good, gets(a=("n1", ["shed"], "once")), truth()),
+            "a GET that nobody sent": (good, gets(z=("n1", ["shed"], "once")), truth()),
+            "records are missing": ({**good, "problems": [{**torn, "kind": "lost"}]}, gets(), truth()),
+            "no gap": ({**good, "phases": phases[1:]}, gets(), truth()),
+            "too late": ({**good, "phases": [phases[0], {**phases[1], "end": 1007.3}]}, gets(), truth()),
             "a rule": ({**good, "rules": [{"rule": 3, "name": "drains", "verdict": "broken", "broken": 2,
-                                           "examples": ["x"]}]}, seen(), truth()),
-            "an exit code": (good, seen(), truth(codes={"n2": 1})),
-            "stand-ins saw something": (good, seen(), truth(faults=["odd"])),
+                                           "examples": ["x"]}]}, gets(), truth()),
+            "an exit code": (good, gets(), truth(codes={"n2": 1})),
+            "stand-ins saw something": (good, gets(), truth(faults=["odd"])),
         }  # fmt: skip
         for name, case in cases.items():
-            told.append(f"{name}: {'; '.join(check(*case)) or 'agrees'}")
-        self.check("checker", told)
+            results.append(f"{name}: {'; '.join(check(*case)) or 'agrees'}")
+        self.check("checker", results)
 
 
 class Demo(unittest.TestCase):
-    """A mass purge while the vault is slow, one gateway killed, clocks apart: played on loopback."""
+    """Runs the demo on loopback: a mass purge while the origin is slow, one gateway killed, clocks apart."""
 
-    def test_the_scripted_incident_is_told_and_a_spoilt_record_is_noticed(self) -> None:
+    def test_incident_is_reported_and_damaged_records_are_noticed(self) -> None:
         with tempfile.TemporaryDirectory() as holder:
             folder = Path(holder)
-            records, told = folder / "records", folder / "demo.json"
+            records, json_file = folder / "records", folder / "demo.json"
             with (
                 mock.patch.dict(os.environ, {"TMPDIR": holder}),
                 mock.patch.object(tempfile, "tempdir", None),
@@ -264,35 +265,35 @@
                     "--records",
                     str(records),
                     "--json",
-                    str(told),
+                    str(json_file),
                     "--report",
                     str(folder / "report.html"),
                 )
             self.assertEqual(code, 0, out)
-            whole = json.loads(told.read_text())
+            whole = json.loads(json_file.read_text())
             self.assertEqual(whole["differences"], [])
             self.assertTrue((folder / "report.html").read_text().startswith("<!doctype html>"))
             kinds = {phase["kind"] for phase in whole["report"]["phases"]}
             self.assertLessEqual({"purge", "slow-source", "restart"}, kinds)
             self.assertEqual(run("records", "verify", str(records / "n1"))[0], 0)
-            self.spoil(records, folder, whole)
+            self.check_damaged(records, folder, whole)
 
-    def spoil(self, records: Path, folder: Path, whole: dict[str, Any]) -> None:
-        """Takes one frame out, and puts one in twice: each must be told by the reader, and by the checker."""
+    def check_damaged(self, records: Path, folder: Path, whole: dict[str, Any]) -> None:
+        """Removes one frame, or duplicates one: the reader and the checker must both report it."""
         for name in ("removed", "doubled"):
-            spoilt = folder / name
-            shutil.copytree(records, spoilt)
-            path = store.files(spoilt / "n1")[0].path
+            damaged = folder / name
+            shutil.copytree(records, damaged)
+            path = store.files(damaged / "n1")[0].path
             data = path.read_bytes()
             start = segment.read_head(data).size
             frames = [part for part in segment.scan(data, start) if isinstance(part, segment.Whole)]
-            place = next(n for n, part in enumerate(frames) if n > 200 and part.payload[1] == 6)
-            begin, end = frames[place - 1].after, frames[place].after
+            index = next(n for n, part in enumerate(frames) if n > 200 and part.payload[1] == 6)
+            begin, end = frames[index - 1].after, frames[index].after
             path.write_bytes(data[:begin] + (b"" if name == "removed" else data[begin:end] * 2) + data[end:])
-            self.assertEqual(run("records", "verify", str(spoilt))[0], 1)
-            told = reading.summary(reading.gather(spoilt))
+            self.assertEqual(run("records", "verify", str(damaged))[0], 1)
+            summary = reading.summary(reading.gather(damaged))
             truth = Truth(began=0.0)
-            wrong = [line for line in check(told, recorded(spoilt), truth) if "records of" in line]
+            wrong = [line for line in check(summary, recorded(damaged), truth) if "records of" in line]
             self.assertTrue(any(re.search("lost|doubled", line) for line in wrong), wrong)
 
 
