--- a/damsonstream/console/follow.py
+++ b/damsonstream/console/follow.py
@@ -1,7 +1,7 @@
 """Reads a folder of records while gateways write to it, for the console.
 
-Usage: `Following(folder)`. `poll()` reads new records into `history` and returns whether there may be more;
-`silent()` returns how many seconds ago each gateway's records grew.
+Usage: `RecordFollower(folder)`. `poll()` reads new records into `history` and returns whether there may be
+more; `seconds_since_growth()` returns how many seconds ago each gateway's records grew.
 """
 
 from __future__ import annotations
--- a/damsonstream/program/commands/demo.py
+++ b/damsonstream/program/commands/demo.py
@@ -18,7 +18,7 @@
 from damsonstream.incident import gather as reading
 from damsonstream.program import toollogs
 from damsonstream.program.commands.playing import run_or_exit
-from damsonstream.program.commands.report import put, rendered
+from damsonstream.program.commands.report import render, write_atomically
 from damsonstream.settings import kdl
 
 
@@ -131,7 +131,7 @@
         "the report agrees with what happened" if not differences else "the report or the run is wrong"
     )
     try:
-        put(report, rendered(incident, "html", f"Demo: {scenario.name}"))
+        write_atomically(report, render(incident, "html", f"Demo: {scenario.name}"))
     except OSError as fault:
         click.echo(f"{report} can't be written: {fault.strerror}", err=True)
         return 2
--- a/damsonstream/program/commands/report.py
+++ b/damsonstream/program/commands/report.py
@@ -13,7 +13,7 @@
 from damsonstream.incident.gather import Incident
 
 
-def put(path: Path, text: str) -> None:
+def write_atomically(path: Path, text: str) -> None:
     """Writes a file atomically, because a truncated report would look like a complete one."""
     handle, name = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
@@ -28,7 +28,7 @@
         raise
 
 
-def rendered(incident: Incident, form: str, title: str = "Incident report") -> str:
+def render(incident: Incident, form: str, title: str = "Incident report") -> str:
     """Returns the report in the format `form`: "html" or "json"."""
     if form == "json":
         return json.dumps(reading.summary(incident), indent=1) + "\n"
@@ -59,12 +59,12 @@
     if not incident.boots:
         click.echo(f"{records} contains no records{' of these gateways' if gateways else ''}.", err=True)
         return 2
-    text = rendered(incident, form, title)
+    text = render(incident, form, title)
     if output is None:
         click.echo(text, nl=False)
     else:
         try:
-            put(output, text)
+            write_atomically(output, text)
         except OSError as fault:
             click.echo(f"{output} can't be written: {fault.strerror}", err=True)
             return 2
--- a/damsonstream/program/commands/traces.py
+++ b/damsonstream/program/commands/traces.py
@@ -245,10 +245,10 @@
         about = source.reading.told()
     whole = {**about, "stats": statistics.told()}
     if html is not None:
-        from damsonstream.program.commands.report import put
+        from damsonstream.program.commands.report import write_atomically
         from damsonstream.traces.page import page
 
-        put(html, page(whole, statistics))
+        write_atomically(html, page(whole, statistics))
         click.echo(f"{html} written", err=True)
     if as_json:
         click.echo(json.dumps(whole, indent=1))
--- a/damsonstream/settings/operator.py
+++ b/damsonstream/settings/operator.py
@@ -39,7 +39,7 @@
     tiers: Path | None = None  # file with the cache hierarchy; None: parents are chosen in hash order
 
 
-def records(section: kdl.Section) -> Records:
+def read_records(section: kdl.Section) -> Records:
     """Reads the section `records`."""
     folder = section.text("folder")
     if not folder:
@@ -57,7 +57,7 @@
     return Records(Path(folder), limits, shift, drift)
 
 
-def peers(section: kdl.Section) -> frozenset[str]:
+def read_peers(section: kdl.Section) -> frozenset[str]:
     """Returns the enabled features: each one is on unless the section sets it to #false."""
     features = frozenset(name for name in PIECES if section.flag(name, True))
     section.finish()
@@ -70,8 +70,8 @@
     records_section, peers_section = top.section("records"), top.section("peers")
     hierarchy = top.text("tiers")
     settings = Operator(
-        records(records_section) if records_section else None,
-        peers(peers_section) if peers_section is not None else None,
+        read_records(records_section) if records_section else None,
+        read_peers(peers_section) if peers_section is not None else None,
         Path(path).parent / hierarchy if hierarchy else None,  # a relative path starts at this file's folder
     )
     top.finish()
