--- a/damsonstream/console/text.py
+++ b/damsonstream/console/text.py
@@ -59,7 +59,15 @@
     at = ",".join(
         plain(name, 8) for name, state in sorted(row.states.items()) if state == row.worst != "Closed"
     )
-    return (plain(row.name, 14), row.role, row.listed, row.worst, number(row.rate), share(row.bad), at[:18])
+    return (
+        plain(row.name, 14),
+        row.role,
+        row.listed,
+        row.worst,
+        number(row.rate),
+        share(row.bad),
+        at[:18],
+    )
 
 
 def service(row: ServiceRow) -> tuple[str, ...]:
@@ -89,7 +97,14 @@
         for n, (state, names) in enumerate(row.states.items())
     ]  # fmt: skip
     limit = number(row.limit) if row.limit else "-"
-    return (plain(row.name, 14), "; ".join(states), str(row.flaps), number(row.into), limit, number(row.out))
+    return (
+        plain(row.name, 14),
+        "; ".join(states),
+        str(row.flaps),
+        number(row.into),
+        limit,
+        number(row.out),
+    )
 
 
 def event(at: int, one: Event) -> str:
--- a/damsonstream/settings/kdl.py
+++ b/damsonstream/settings/kdl.py
@@ -216,12 +216,14 @@
 
     def size(self, name: str, default: int, minimum: int = 0) -> int:
         """Returns a size in bytes."""
-        return self.value(name, default, lambda value: size(value, minimum), 'a size such as "64MiB"'
+        return self.value(name, default, lambda value: size(value, minimum),
+                          'a size such as "64MiB"'
                           + (f", at least {minimum} bytes" if minimum else ""))  # fmt: skip
 
     def span(self, name: str, default: float, minimum: float = 0.0) -> float:
         """Returns a duration in seconds."""
-        return self.value(name, default, lambda value: span(value, minimum), 'a duration such as "90s", "7d"'
+        return self.value(name, default, lambda value: span(value, minimum),
+                          'a duration such as "90s", "7d"'
                           + (f", at least {minimum:g} s" if minimum else ""))  # fmt: skip
 
     def finish(self) -> None:
