--- a/damsonstream/settings/kdl.py
+++ b/damsonstream/settings/kdl.py
@@ -45,6 +45,7 @@
     children: list[NodeLine] = field(default_factory=list)
 
 
+# Splits a KDL text into tokens, as far as the names and lines of nodes require it.
 TOKEN = re.compile(
     r'(?P<raw>(?P<hash>#+)(?P<q>"""|")(?:.|\n)*?(?P=q)(?P=hash))'
     r'|(?P<long>"""(?:\\.|[^\\])*?""")'
