--- a/damsonstream/together/checks.py
+++ b/damsonstream/together/checks.py
@@ -59,10 +59,10 @@
     """A fill request as its source received it: time, requester, source, and the zones of both (or empty)."""
 
     at: float
-    requester: str
+    asker: str
     source: str
-    home_zone: str
-    source_zone: str
+    home: str
+    zone: str
 
 
 @dataclass(slots=True)
@@ -117,8 +117,8 @@
 def spilled_fills(check: Check, seen: Seen) -> list[Filled]:
     """Returns the fills in the check's span that parents of a zone received from caches of another zone."""
     return [one for one in seen.fills if check.start <= one.at < check.end
-            and one.home_zone and one.source_zone and one.home_zone != one.source_zone
-            and check.of in ("", one.source_zone)]  # fmt: skip
+            and one.home and one.zone and one.home != one.zone
+            and check.of in ("", one.zone)]  # fmt: skip
 
 
 def peak_per_second(times: list[float]) -> float:
@@ -144,29 +144,29 @@
 def peak_fills(check: Check, seen: Seen) -> float:
     """Returns the largest number of fills per second requested from a node or from all parents of a zone."""
     return peak_per_second(sorted(one.at for one in seen.fills if check.start <= one.at < check.end
-                                   and check.of in ("", one.source, one.source_zone)))  # fmt: skip
+                                   and check.of in ("", one.source, one.zone)))  # fmt: skip
 
 
 def peak_direct_fills(check: Check, seen: Seen) -> float:
     """Returns the largest number of fills per second from caches (of a zone) directly to the origin."""
     return peak_per_second(sorted(one.at for one in seen.fills if check.start <= one.at < check.end
-                                   and one.home_zone and not one.source_zone
-                                   and one.requester.startswith("cache")
-                                   and check.of in ("", one.home_zone)))  # fmt: skip
+                                   and one.home and not one.zone
+                                   and one.asker.startswith("cache")
+                                   and check.of in ("", one.home)))  # fmt: skip
 
 
 def fill_count(check: Check, seen: Seen) -> float:
     """Counts the fills requested from a node or from all parents of a zone."""
-    return sum(check.start <= one.at < check.end and check.of in ("", one.source, one.source_zone)
+    return sum(check.start <= one.at < check.end and check.of in ("", one.source, one.zone)
                for one in seen.fills)  # fmt: skip
 
 
 def local_fill_share(check: Check, seen: Seen) -> float:
     """Returns the share of fills from parents (by caches of the zone, or of all) that stayed in the zone."""
     requested = [one for one in seen.fills if check.start <= one.at < check.end
-                 and one.home_zone and one.source_zone
-                 and check.of in ("", one.home_zone) and one.requester.startswith("cache")]  # fmt: skip
-    return sum(one.home_zone == one.source_zone for one in requested) / len(requested) if requested else 0.0
+                 and one.home and one.zone
+                 and check.of in ("", one.home) and one.asker.startswith("cache")]  # fmt: skip
+    return sum(one.home == one.zone for one in requested) / len(requested) if requested else 0.0
 
 
 def reports_by_gateway(check: Check, seen: Seen, state: int) -> dict[int, float]:
