--- a/damsonstream/bench/__main__.py
+++ b/damsonstream/bench/__main__.py
@@ -55,7 +55,7 @@
         if name == "RETIRE":
             del gateways[gateway_name]
             continue
-        entries: list[interface.Entry] = []
+        entries: list[interface.ListEntry] = []
         for _ in range(int(parts.get("items", 0)) if name == "DIRECTORY_UPDATE" else 0):
             tag, fields = codec.split_line(next(remaining, "").rstrip("\r\n"))
             if tag != "M":
--- a/damsonstream/bench/codec.py
+++ b/damsonstream/bench/codec.py
@@ -47,13 +47,13 @@
     return name, parts
 
 
-def decode_entry(parts: dict[str, str]) -> i.Entry:
+def decode_entry(parts: dict[str, str]) -> i.ListEntry:
     """Decodes an entry of the list of caches."""
-    return i.Entry(
+    return i.ListEntry(
         cache=parts["cache"],
         location=parts.get("locality", ""),
         state=parts["state"],
-        units=float(parts.get("units", 1)),
+        capacity=float(parts.get("units", 1)),
         cell=int(parts.get("cluster", 0)),
         model=parts.get("model", ""),
         started_at=tenths(parts.get("since", 0)),
@@ -61,7 +61,7 @@
 
 
 def decode_event(
-    name: str, parts: dict[str, str], entries: tuple[i.Entry, ...], services: dict[str, int]
+    name: str, parts: dict[str, str], entries: tuple[i.ListEntry, ...], services: dict[str, int]
 ) -> i.Event | None:
     """Decodes an event; returns None for one that the router does not handle.
 
@@ -72,11 +72,11 @@
         services.update({lane["name"]: index for index, lane in enumerate(settings["lanes"])})
         return i.Started(int(parts["nonce64"]), footprint(settings))
     if name == "DIRECTORY_UPDATE":
-        return i.ListTold(LIST_KINDS[parts["kind"]], entries)
+        return i.ListUpdate(LIST_KINDS[parts["kind"]], entries)
     if name == "ACCEPT":
-        return i.GetTaken(
+        return i.GetReceived(
             get=int(parts["xid"]),
-            left=tenths(parts["left"]),
+            time_left=tenths(parts["left"]),
             service=services[parts["tierClass"]],
             object_id=parts.get("contentId", ""),
             group=int(float(parts.get("labelNo", -1))),
@@ -99,13 +99,13 @@
         load = dict(pair.split(":", 1) for pair in parts.get("healthInfo", "").split(",") if ":" in pair)
         return i.ForwardEnded(
             get=int(parts["xid"]),
-            leg=int(parts.get("leg", 0)),
+            attempt=int(parts.get("leg", 0)),
             cache=parts.get("cache", ""),
             result=RESULTS[parts["code"]],
-            took=tenths(parts.get("delaySeen", 0)),
+            duration=tenths(parts.get("delaySeen", 0)),
             first_byte=tenths(parts.get("firstByte", 0)),
-            note=int(parts.get("remark", 0)),
-            over=parts.get("over", "0") == "1",
+            fill_code=int(parts.get("remark", 0)),
+            get_done=parts.get("over", "0") == "1",
             load={LOAD_KEYS[key]: float(value) for key, value in load.items() if key in LOAD_KEYS},
         )
     return None
@@ -116,20 +116,20 @@
     head = f"gateway={gateway}"
     match a:
         case i.Forward():
-            opts = (1 if a.join else 0) + (2 if a.copies else 0) + (8 if a.refresh else 0)
+            opts = (1 if a.collapse else 0) + (2 if a.only_if_cached else 0) + (8 if a.refresh else 0)
             return (
                 f"LOOK_AND_FILL {head} xid={a.get} holdRank={a.retention_rank} fillFrom={a.source} "
-                f"patience={a.timeout * US} oldness={a.age * US} cache={a.cache} opts={opts}"
+                f"patience={a.timeout * US} oldness={a.max_age * US} cache={a.cache} opts={opts}"
             )
         case i.Recall():
-            return f"RECALL {head} xid={a.get} leg={a.leg}"
+            return f"RECALL {head} xid={a.get} leg={a.attempt}"
         case i.Shed():
-            return f"BUSY {head} xid={a.get} retryIn={a.come_back * US}"
+            return f"BUSY {head} xid={a.get} retryIn={a.retry_after * US}"
         case i.Errored():
             return f"GIVE_UP {head} xid={a.get}"
         case i.Wake():
             return f"DEFER {head} offset={a.after * US} ref=due"
-        case i.AskForList():
+        case i.SubscribeToList():
             return f"SUBSCRIBE {head} active=1"
         case i.Trace():
             return f"TRACE {head} bodyText={a.text}"
--- a/damsonstream/emulator/baselines.py
+++ b/damsonstream/emulator/baselines.py
@@ -38,7 +38,7 @@
     def __init__(self, strategy: str, seed: int) -> None:
         self.strategy, self.rng = strategy, random.Random(seed)
         self.gets: dict[int, PendingGet] = {}  # removed at the final answer
-        self.entries: dict[str, i.Entry] = {}  # bounded by the list of caches
+        self.entries: dict[str, i.ListEntry] = {}  # bounded by the list of caches
         self.load: dict[str, int] = {}  # forwards in flight, by cache and source
         self.attempts: dict[tuple[int, int], tuple[str, str]] = {}  # removed as each forward ends
         self.next_index = 0
@@ -46,16 +46,16 @@
     def handle(self, now: int, event: i.Event) -> list[i.Action]:
         match event:
             case i.Started():
-                self.footprint = event.footprint
+                self.footprint = event.deployment
                 self.next_index = self.rng.randrange(1000)
-            case i.ListTold():
+            case i.ListUpdate():
                 if event.kind != "changes":
                     self.entries = {}
                 self.entries |= {entry.cache: entry for entry in event.entries}
-            case i.GetTaken():
+            case i.GetReceived():
                 service = self.footprint.services[event.service]
                 get = self.gets[event.get] = PendingGet(
-                    event.get, service, now + event.left - self.footprint.tick
+                    event.get, service, now + event.time_left - self.footprint.timer_tick
                 )
                 return [*self.forward(now, get), i.Wake(max(1, get.deadline - now))]
             case i.ForwardEnded():
@@ -97,18 +97,18 @@
         self.attempts[get.id, get.attempts] = cache, source
         get.in_flight.add(get.attempts)
         get.attempts += 1
-        if get.service.effect != "idempotent" and get.executed_at < 0:
+        if get.service.idempotency != "idempotent" and get.executed_at < 0:
             get.executed_at = now
-        return [i.Forward(get.id, cache, source, 1, 0, 0, self.footprint.joins, False, False)]
+        return [i.Forward(get.id, cache, source, 1, 0, 0, self.footprint.collapses_fills, False, False)]
 
     def on_forward_ended(self, now: int, event: i.ForwardEnded) -> list[i.Action]:
-        for name in self.attempts.pop((event.get, event.leg), ()):
+        for name in self.attempts.pop((event.get, event.attempt), ()):
             self.load[name] -= 1
         get = self.gets.get(event.get)
         if get is None:
             return []
-        get.in_flight.discard(event.leg)
-        if event.over:
+        get.in_flight.discard(event.attempt)
+        if event.get_done:
             del self.gets[event.get]
             return []
         if event.result in ("shed", "lacking", "unreached", "unsent"):
@@ -121,10 +121,10 @@
 
         A tokened GET is retried only if its token is known to all caches (scope `all`) and still remembered.
         """
-        if get.executed_at < 0 or get.service.effect == "idempotent":
+        if get.executed_at < 0 or get.service.idempotency == "idempotent":
             return True
-        remembered = now + self.footprint.tick < get.executed_at + get.service.remembered
-        return get.service.effect == "tokened" and get.service.scope == "all" and remembered
+        remembered = now + self.footprint.timer_tick < get.executed_at + get.service.token_lifetime
+        return get.service.idempotency == "tokened" and get.service.token_scope == "all" and remembered
 
     def give_up(self, get: PendingGet) -> list[i.Action]:
         """Returns the final answer, or nothing while forwards are in flight.
@@ -134,7 +134,7 @@
         if get.in_flight:
             return []
         self.gets.pop(get.id, None)
-        effect, scope = get.service.effect, get.service.scope
+        effect, scope = get.service.idempotency, get.service.token_scope
         safe = get.executed_at < 0 or effect == "idempotent" or (effect, scope) == ("tokened", "all")
         return [i.Shed(get.id, 0) if safe else i.Errored(get.id)]
 
--- a/damsonstream/emulator/gateway.py
+++ b/damsonstream/emulator/gateway.py
@@ -105,7 +105,7 @@
         self.handle_event(
             i.Started(emulation.seed * 31 + self.index, footprint, self.coordinator, self.hierarchy)
         )
-        entries: dict[str, i.Entry] = {}
+        entries: dict[str, i.ListEntry] = {}
         for update in emulation.world.updates:
             if not isinstance(update, Purge):
                 entries |= {entry.cache: entry for entry in update}
@@ -167,7 +167,7 @@
     def receive_datagram(self, sender: int, data: bytes) -> None:
         self.handle_peer_events(self.coordinator.heard(self.now(), sender, data))
 
-    def handle_peer_events(self, events: list[i.PeersTold]) -> None:
+    def handle_peer_events(self, events: list[i.PeerVerdict]) -> None:
         for event in events:
             self.handle_event(event)
 
@@ -197,8 +197,8 @@
             self.apply_list("changes", update)
         self.read_updates()
 
-    def apply_list(self, kind: str, entries: tuple[i.Entry, ...]) -> None:
-        self.handle_event(i.ListTold(kind, entries))
+    def apply_list(self, kind: str, entries: tuple[i.ListEntry, ...]) -> None:
+        self.handle_event(i.ListUpdate(kind, entries))
         for entry in entries:
             if self.hierarchy is not None:
                 self.hierarchy.told(entry.cache, entry.state)
@@ -252,7 +252,7 @@
         get = ActiveGet(self.last_get_id, service, object_id, token, self.engine.now + time_left, on_answer)
         self.gets[get.id] = get
         service_index = self.service_names.index(service)
-        self.handle_event(i.GetTaken(get.id, time_left, service_index, object_id, group, 0.0, repeated))
+        self.handle_event(i.GetReceived(get.id, time_left, service_index, object_id, group, 0.0, repeated))
 
         def client_left() -> None:
             if not get.answered:
@@ -275,11 +275,11 @@
                 else:
                     self.send(get, attempt, action)
             case i.Recall():
-                if (recalled := get.in_flight.get(action.leg)) is not None:
+                if (recalled := get.in_flight.get(action.attempt)) is not None:
                     self.cancel(recalled)
                     self.end_attempt(get, recalled, "recalled")
             case i.Shed():
-                self.answer(get, "shed", action.come_back)
+                self.answer(get, "shed", action.retry_after)
             case i.Errored():
                 self.answer(get, "errored", 0)
 
@@ -327,7 +327,7 @@
         self.use_connection(node.name)
         key = (get.service, get.object_id, "0")
         source = forward.source if forward.source != forward.cache else ""
-        command = Command(key, source, forward.age // MS, forward.join, forward.copies, get.token,
+        command = Command(key, source, forward.max_age // MS, forward.collapse, forward.only_if_cached, get.token,
                           max(MS, get.deadline - self.engine.now))  # fmt: skip
 
         def arrive() -> None:
--- a/damsonstream/emulator/nodes.py
+++ b/damsonstream/emulator/nodes.py
@@ -66,8 +66,8 @@
         self.fills: dict[Key, Signal] = {}  # removed as they end
         self.state, self.started_at = 0, 0
 
-    def entry(self) -> i.Entry:
-        return i.Entry(self.uid, self.location, STATES[self.state], float(self.slots), self.cell,
+    def entry(self) -> i.ListEntry:
+        return i.ListEntry(self.uid, self.location, STATES[self.state], float(self.slots), self.cell,
                        MODEL_BY_ROLE[self.role], self.started_at)  # fmt: skip
 
     def condition(self) -> Condition:
@@ -242,7 +242,7 @@
     issued: int  # ticks
 
 
-Update = tuple[i.Entry, ...] | Purge  # changed entries of the list, or a purge
+Update = tuple[i.ListEntry, ...] | Purge  # changed entries of the list, or a purge
 
 
 class World:
--- a/damsonstream/emulator/play.py
+++ b/damsonstream/emulator/play.py
@@ -28,7 +28,7 @@
 from damsonstream.peers.council import digest as zone_digest
 from damsonstream.peers.council import source_id
 from damsonstream.peers.pieces import PIECES
-from damsonstream.routing.interface import Footprint
+from damsonstream.routing.interface import Deployment
 from damsonstream.routing.router import Router
 from damsonstream.standins import clients, servers
 from damsonstream.standins.faults import Plan
@@ -50,7 +50,7 @@
     """A fleet of gateways with its nodes and viewers, and the faults of a script."""
 
     def __init__(
-        self, script: Script, footprint: Callable[[dict[str, Any]], Footprint], without: frozenset[str],
+        self, script: Script, footprint: Callable[[dict[str, Any]], Deployment], without: frozenset[str],
         seed: int, *, shops: int = 1, router: Callable[[int], EventHandler] | None = None,
     ) -> None:  # fmt: skip
         """Sets up the fleet.
@@ -80,7 +80,7 @@
             servers.Shape().vault.lanes * shops,
         )  # fmt: skip
         world = self.world
-        self.footprint: Callable[[int], Footprint] = cache(
+        self.footprint: Callable[[int], Deployment] = cache(
             lambda index: footprint(
                 figures.settings(script, index, location_of, gateway_counts, MODELS, world.locations)
             )
--- a/damsonstream/peers/council.py
+++ b/damsonstream/peers/council.py
@@ -28,8 +28,8 @@
 from damsonstream.peers.spread import Gossip
 from damsonstream.peers.subsets import assign
 from damsonstream.peers.turns import TrialSchedule
-from damsonstream.routing.interface import PeersTold
-from damsonstream.routing.router import digest as router_digest
+from damsonstream.routing.interface import PeerVerdict
+from damsonstream.routing.router import stable_hash as router_digest
 
 if TYPE_CHECKING:
     from damsonstream.tiers.verdicts import Verdict, Verdicts
@@ -227,7 +227,7 @@
 
     # datagrams
 
-    def heard(self, now: int, sender: int, data: bytes) -> list[PeersTold]:
+    def heard(self, now: int, sender: int, data: bytes) -> list[PeerVerdict]:
         """Handles a datagram; returns verdicts for the router. Any input takes bounded work and is counted:
         under `heard`, or under the reason why it is dropped. `old`: it waited while this process stalled;
         `long`, `form`, `garbled`: not decodable (wire.py); `foreign`: not sent from the address of its
@@ -256,7 +256,7 @@
             return []
         self.counted["heard"] += 1
         self.members.datagram_received(now)
-        verdicts: list[PeersTold] = []
+        verdicts: list[PeerVerdict] = []
         for item in datagram.items:
             if isinstance(item, (wire.Heartbeat, wire.Doubt, wire.OutcomeReport, wire.Trial)) and (
                 item.boot > self.members.boot + MAX_BOOT_LEAD
@@ -266,7 +266,7 @@
             verdicts += self.handle_item(now, sender, item)
         return verdicts
 
-    def handle_item(self, now: int, sender: int, item: wire.Item) -> list[PeersTold]:
+    def handle_item(self, now: int, sender: int, item: wire.Item) -> list[PeerVerdict]:
         """Handles one item; returns verdicts for the router."""
         match item:
             case wire.Heartbeat():
@@ -304,7 +304,7 @@
                 (self.near if item.scope == self.location else self.far).receive_grant(now, sender, item)
         return []
 
-    def apply_trial_outcome(self, now: int, source: int, outcome: str) -> list[PeersTold]:
+    def apply_trial_outcome(self, now: int, source: int, outcome: str) -> list[PeerVerdict]:
         """Returns the verdict for the router on a trial of another gateway. Enough successes close the
         breaker later, after this gateway's delay. Other results are not passed on for a source that
         this gateway has yet to try itself."""
@@ -314,7 +314,7 @@
             self.opened_by_peers.discard(source)
             heappush(self.pending_closes, (now + self.trials.close_delay(source), source))
             return []
-        return [PeersTold(source, outcome)] if outcome and source not in self.opened_by_peers else []
+        return [PeerVerdict(source, outcome)] if outcome and source not in self.opened_by_peers else []
 
     # zones
 
@@ -398,7 +398,7 @@
             self.resumed_at = now
         return now - self.resumed_at < STALL_DISCARD
 
-    def due(self, now: int) -> tuple[list[tuple[int, bytes]], list[PeersTold]]:
+    def due(self, now: int) -> tuple[list[tuple[int, bytes]], list[PeerVerdict]]:
         """Called every GOSSIP_INTERVAL. Returns the datagrams to send, by peer, and verdicts for the
         router."""
         self.recently_stalled(now)
@@ -515,11 +515,11 @@
             self.rng.shuffle(candidates)
             self.direct_items += shares.renewals_and_requests(now, candidates)
 
-    def due_verdicts(self, now: int) -> list[PeersTold]:
+    def due_verdicts(self, now: int) -> list[PeerVerdict]:
         """Returns the verdicts for the router that are due now: breakers to close, and dead sources."""
         verdicts = []
         while self.pending_closes and self.pending_closes[0][0] <= now:
-            verdicts.append(PeersTold(heappop(self.pending_closes)[1], "well"))
+            verdicts.append(PeerVerdict(heappop(self.pending_closes)[1], "well"))
         if "evidence" not in self.features:
             return verdicts
         for source in [s for s in self.evidence.agreed_since if s not in self.zone_names]:
@@ -528,7 +528,7 @@
                 self.dead_since[source] = now
                 if not self.evidence.fails_locally(now, source):
                     self.opened_by_peers.add(source)
-                verdicts.append(PeersTold(source, "dead"))
+                verdicts.append(PeerVerdict(source, "dead"))
         self.reported_dead.intersection_update(self.evidence.agreed_since)
         return verdicts
 
--- a/damsonstream/program/config.py
+++ b/damsonstream/program/config.py
@@ -37,7 +37,7 @@
     memory_mb: int
     last: int  # number of the last event in `known`
     known: tuple[bulletin.Event, ...]  # events of the bulletin that the file contains
-    footprint: i.Footprint
+    footprint: i.Deployment
     locations: tuple[str, ...]
     connect_timeout: float  # seconds
     idle: float  # idle timeout of connections to caches, seconds
@@ -143,7 +143,7 @@
     return [name for name in names if getattr(running, name) != getattr(loaded, name)]
 
 
-def footprint(settings: dict[str, Any]) -> i.Footprint:
+def footprint(settings: dict[str, Any]) -> i.Deployment:
     """Converts the `settings` section to the router's view of the system: its services, limits and rules."""
     family = settings.get("familyInfo", {})
     limits = settings.get("limits", {})
@@ -164,24 +164,24 @@
         i.DeliveryService(
             name=service["name"],
             objective=tenths(service["onTime"]),
-            stretch=float(service.get("aimStretch", 0)),
+            objective_per_transfer=float(service.get("aimStretch", 0)),
             viewer_timeout=tenths(service["hardLimit"]),
             revenue=float(service.get("worth", 1)),
             late_share=float(service.get("lateShare", 0)),
-            effect=EFFECT_BY_NAME[service["idempotency"]],
-            scope=service.get("keyScope", "all"),
-            remembered=tenths(service.get("dedupWindow", 0)),
+            idempotency=EFFECT_BY_NAME[service["idempotency"]],
+            token_scope=service.get("keyScope", "all"),
+            token_lifetime=tenths(service.get("dedupWindow", 0)),
             streamed=bool(service.get("streaming", False)),
-            fresh=tenths(per_service("maxAge", index)),
-            grace=tenths(per_service("usableAfter", index)),
-            passes=bool(per_service("passOn", index)),
+            max_age=tenths(per_service("maxAge", index)),
+            stale_grace=tenths(per_service("usableAfter", index)),
+            uncacheable=bool(per_service("passOn", index)),
         )
         for index, service in enumerate(settings["lanes"])
     )
     gateways_by_zone = family.get("zoneBalancers", [])
     own_zone_index = zones.index(own_zone) if own_zone in zones else -1
     gateways = int(settings.get("balancers", 1))
-    return i.Footprint(
+    return i.Deployment(
         services=services,
         location=own_zone,
         gateways=gateways,
@@ -192,25 +192,25 @@
         models=models,
         parent_model=model("shieldKind"),
         origin_model=model("masterKind"),
-        weights=settings.get("weights", "none"),
-        ask_for_list=settings.get("membershipMode") == "subscribe",
-        ask_within=tenths(rules.get("askWithin", 0)),
+        capacity_info=settings.get("weights", "none"),
+        must_subscribe=settings.get("membershipMode") == "subscribe",
+        resubscribe_within=tenths(rules.get("askWithin", 0)),
         client_kb_per_s=float(family.get("clientKbPerS", 0)),
-        notes=family.get("says", "none"),
-        joins=bool(family.get("joins", True)),
-        direct=bool(family.get("passThroughOk", False)),
-        tick=max(1, tenths(settings.get("tick", 0))),
-        cancel=bool(limits.get("cancel", False)),
-        second_copies=bool(limits.get("secondCopies", False)),
-        retry_after=bool(limits.get("retryAfter", False)),
+        fill_codes=family.get("says", "none"),
+        collapses_fills=bool(family.get("joins", True)),
+        allows_direct=bool(family.get("passThroughOk", False)),
+        timer_tick=max(1, tenths(settings.get("tick", 0))),
+        allows_recall=bool(limits.get("cancel", False)),
+        allows_hedges=bool(limits.get("secondCopies", False)),
+        allows_retry_after=bool(limits.get("retryAfter", False)),
         max_forwards=int(limits.get("maxAttempts", 1)),
         max_retry_after=tenths(limits.get("maxRetryAfter", 0)),
         cold_share=float(rules.get("startCapacity", 1)),
-        cold_for=tenths(rules.get("warmWithin", 0)),
+        cold_duration=tenths(rules.get("warmWithin", 0)),
         cold_multiple=float(rules.get("fallMultiple", 1)),
-        cold_span=tenths(rules.get("tipAfter", 0)),
+        cold_overload_span=tenths(rules.get("tipAfter", 0)),
         parent_cold_share=float(family.get("parentStartsAt", 1)),
-        parent_cold_for=tenths(family.get("upperCold", 0)),
+        parent_cold_duration=tenths(family.get("upperCold", 0)),
         parent_cold_multiple=float(family.get("parentBreaksAt", 1)),
-        purge_settles=tenths(family.get("purgeSettles", 0)),
+        purge_settle_time=tenths(family.get("purgeSettles", 0)),
     )
--- a/damsonstream/program/gathering.py
+++ b/damsonstream/program/gathering.py
@@ -16,8 +16,8 @@
 from damsonstream.peers.council import TURN, Council, source_id
 from damsonstream.program.config import Config
 from damsonstream.protocol import bulletin
-from damsonstream.routing.gateway import NS, TENTHS, Clock
-from damsonstream.routing.interface import PeersTold
+from damsonstream.routing.gateway import NS_PER_TICK, TICKS_PER_MS, Clock
+from damsonstream.routing.interface import PeerVerdict
 from damsonstream.transport.peers import PeerSocket
 
 if TYPE_CHECKING:  # imported at run time only if records are enabled
@@ -33,14 +33,14 @@
     """The exchange of one gateway with its peers. `notify` passes the results to the router."""
 
     def __init__(
-        self, config: Config, features: frozenset[str], clock: Clock, notify: Callable[[PeersTold], None],
+        self, config: Config, features: frozenset[str], clock: Clock, notify: Callable[[PeerVerdict], None],
         recorder: Recorder | None = None,
     ) -> None:  # fmt: skip
         self.clock, self.notify, self.recorder = clock, notify, recorder
         self.source_names: dict[int, str] = {}  # by source id; the caches of the current list
         self.recorded, self.recorded_at = ("", [0]), 0  # the last recorded state, and its time
         location = config.locations.index(config.location) if config.location in config.locations else 0
-        incarnation = max(0, clock.unix() // (NS * 1000) - BOOT_EPOCH_S * 10) & 0xFFFFFFFF
+        incarnation = max(0, clock.unix() // (NS_PER_TICK * 1000) - BOOT_EPOCH_S * 10) & 0xFFFFFFFF
         footprint = config.footprint
         self.coordinator = Council(
             config.name, config.place, footprint.gateways, location, footprint.location_gateways, incarnation,
@@ -83,12 +83,12 @@
         if self.recorder is not None:
             self.recorder.turn(now, self.source_name(source), state)
 
-    def deliver(self, notices: Iterable[PeersTold]) -> None:
+    def deliver(self, notices: Iterable[PeerVerdict]) -> None:
         """Logs and records what the peers reported, and passes it to the router."""
         for notice in notices:
-            log.info("told", extra={"source": self.source_name(notice.source), "what": notice.what})
+            log.info("told", extra={"source": self.source_name(notice.node), "what": notice.verdict})
             if self.recorder is not None:
-                self.recorder.told(self.clock.now(), self.source_name(notice.source), notice.what)
+                self.recorder.told(self.clock.now(), self.source_name(notice.node), notice.verdict)
             self.notify(notice)
 
     def record_state(self, now: int) -> None:
@@ -115,7 +115,7 @@
     async def run(self) -> None:
         """Sends the messages that are due in each round. Never returns."""
         while True:
-            await anyio.sleep(TURN / (1000 * TENTHS))
+            await anyio.sleep(TURN / (1000 * TICKS_PER_MS))
             try:
                 now = self.clock.now()
                 datagrams, notices = self.coordinator.due(now)
@@ -132,7 +132,7 @@
 
 
 def create_peer_exchange(
-    config: Config, features: frozenset[str], clock: Clock, notify: Callable[[PeersTold], None],
+    config: Config, features: frozenset[str], clock: Clock, notify: Callable[[PeerVerdict], None],
     recorder: Recorder | None = None,
 ) -> PeerExchange | None:  # fmt: skip
     if config.peer_listen is None or not config.peers or not config.messages:
--- a/damsonstream/program/serve.py
+++ b/damsonstream/program/serve.py
@@ -22,8 +22,8 @@
 from damsonstream.program.counters import Counters
 from damsonstream.protocol import bulletin, fastcgi, resp
 from damsonstream.routing import life
-from damsonstream.routing.gateway import TENTHS, Clock, Gateway
-from damsonstream.routing.interface import PeersTold
+from damsonstream.routing.gateway import TICKS_PER_MS, Clock, Gateway
+from damsonstream.routing.interface import PeerVerdict
 from damsonstream.transport.caches import CacheConnections
 from damsonstream.transport.feed import DiscoveryWatch
 from damsonstream.transport.front import Answer, ClientListener
@@ -85,7 +85,7 @@
             max(1, client_limit), memory_bytes // CLIENT_MEMORY_DIVISOR, self.open_get, count
         )
         self.services = {service.name.encode(): n for n, service in enumerate(config.footprint.services)}
-        self.get_tasks = life.Lives(self.gateway, self.cache_connections.send)
+        self.get_tasks = life.GetTasks(self.gateway, self.cache_connections.send)
         models = config.footprint.models
         self.discovery = DiscoveryWatch(
             config.feed, config.last, config.locations, models, self.on_bulletin_event, count
@@ -98,8 +98,8 @@
         from damsonstream.program import gathering
 
         # self.gateway is created later, but before the exchange sends the first notification
-        def notify(event: PeersTold) -> None:
-            self.gateway.tell(event)
+        def notify(event: PeerVerdict) -> None:
+            self.gateway.handle_event(event)
 
         return gathering.create_peer_exchange(self.config, features, clock, notify, self.recorder)
 
@@ -124,7 +124,7 @@
                 self.hierarchy.update_list(event)
         if self.recorder is not None:
             self.recorder.news(self.gateway.clock.now(), number, event)
-        self.gateway.told(event)
+        self.gateway.apply_bulletin(event)
 
     def open_get(self, request: fastcgi.Request, send_answer: Answer) -> life.Get | None:
         """Validates a GET and starts its task. Health checks and rejected GETs are answered at once, and None
@@ -142,7 +142,7 @@
             send_answer(fastcgi.end_request(request.id, fastcgi.OVERLOADED))
             return None
 
-        def finish(final: life.Final) -> None:
+        def finish(final: life.FinalAnswer) -> None:
             self.counters.add(final.outcome)
             send_answer(self.encode_final(request.id, final))
 
@@ -156,21 +156,21 @@
             settings = self.config.footprint.services[service]
             if (
                 not (ID_PATTERN.fullmatch(ident) and ID_PATTERN.fullmatch(object_id))
-                or ident in self.get_tasks.idents
+                or ident in self.get_tasks.open_ids
             ):
                 raise ValueError  # a second GET with an open id would be confused with the first
             if (
                 parse_uint(segment) > MAX_SEGMENT
-                or not 0 < time_left_ms * TENTHS <= settings.viewer_timeout
+                or not 0 < time_left_ms * TICKS_PER_MS <= settings.viewer_timeout
                 or group > MAX_GROUP
             ):
                 raise ValueError
-            if not TOKEN_PATTERN.fullmatch(token) if settings.effect == "tokened" else token:
+            if not TOKEN_PATTERN.fullmatch(token) if settings.idempotency == "tokened" else token:
                 raise ValueError
         except (KeyError, ValueError):
             self.counters.add("unusable")
             self.record_rejection(fields, "errored", "unusable")
-            finish(life.Final("errored"))
+            finish(life.FinalAnswer("errored"))
             return None
         version = fields.get(b"HTTP_X_SEEN", b"").removeprefix(b"W/").strip(b'"')
         forward_fields = resp.forward_fields(
@@ -180,7 +180,7 @@
         get = life.Get(
             ident, service, object_id.decode(), group, time_left_ms, is_retry, forward_fields, request.body
         )
-        self.get_tasks.begin(get, finish)
+        self.get_tasks.start(get, finish)
         return get
 
     def record_rejection(self, fields: dict[bytes, bytes], outcome: str, reason: str) -> None:
@@ -188,9 +188,9 @@
             ident = fields.get(b"HTTP_X_TXN", b"")
             self.recorder.turned(self.gateway.clock.now(), ident, outcome, reason)
 
-    def encode_final(self, id: int, final: life.Final) -> bytes:
+    def encode_final(self, id: int, final: life.FinalAnswer) -> bytes:
         match final.outcome:
-            case "returned" if final.same:
+            case "returned" if final.not_modified:
                 return fastcgi.encode_answer(
                     id, b"200 OK", [(b"X-Current", b"1"), (b"Content-Length", b"0")], b""
                 )
@@ -199,7 +199,7 @@
                     id, b"200 OK", [(b"Content-Length", b"%d" % len(final.body))], final.body
                 )
             case "shed":
-                headers = [(b"X-Throttle-Ms", b"%d" % final.come_back_ms)] if final.come_back_ms else []
+                headers = [(b"X-Throttle-Ms", b"%d" % final.retry_after_ms)] if final.retry_after_ms else []
                 return fastcgi.encode_answer(id, b"503 Service Unavailable", headers, b"")
         return fastcgi.encode_answer(id, b"500 Internal Server Error", [], b"")
 
@@ -279,7 +279,7 @@
             async with anyio.create_task_group() as tasks:
                 self.get_tasks.group = tasks
                 tasks.start_soon(self.handle_signals, received, tasks.cancel_scope)
-                self.gateway.keep_time()
+                self.gateway.start_timer()
                 tasks.start_soon(self.cache_connections.run)
                 tasks.start_soon(self.listener.sweep)
                 tasks.start_soon(self.discovery.run)
--- a/damsonstream/program/tiering.py
+++ b/damsonstream/program/tiering.py
@@ -16,7 +16,7 @@
 from damsonstream.peers.pieces import ZONES
 from damsonstream.program.config import Config
 from damsonstream.protocol import bulletin
-from damsonstream.routing.gateway import TENTHS, Clock
+from damsonstream.routing.gateway import TICKS_PER_MS, Clock
 from damsonstream.settings import kdl
 from damsonstream.tiers import load
 from damsonstream.tiers.service import Alone, Service
@@ -105,7 +105,7 @@
     async def run(self) -> None:
         """Updates the zones periodically. Never returns."""
         while True:
-            await anyio.sleep(TICK_INTERVAL / (1000 * TENTHS))
+            await anyio.sleep(TICK_INTERVAL / (1000 * TICKS_PER_MS))
             try:
                 now = self.clock.now()
                 self.service.tick(now)
--- a/damsonstream/records/recorder.py
+++ b/damsonstream/records/recorder.py
@@ -58,12 +58,12 @@
         )
 
     def sent(self, now: int, number: int, leg: int, forward: i.Forward) -> None:
-        self.write(model.Sent(self.record_time(now), number, leg, forward.cache, forward.source, forward.age,
-                              forward.copies))  # fmt: skip
+        self.write(model.Sent(self.record_time(now), number, leg, forward.cache, forward.source, forward.max_age,
+                              forward.only_if_cached))  # fmt: skip
 
     def came(self, now: int, event: i.ForwardEnded, stamp: int) -> None:
-        self.write(model.Came(self.record_time(now), event.get, event.leg, event.cache, event.result,
-                              event.note, event.took, event.first_byte, event.shared, stamp))  # fmt: skip
+        self.write(model.Came(self.record_time(now), event.get, event.attempt, event.cache, event.result,
+                              event.fill_code, event.duration, event.first_byte, event.shared_failure, stamp))  # fmt: skip
 
     def final(self, now: int, number: int, outcome: str, come_back: int, size: int, leg: int) -> None:
         self.write(model.Answered(self.record_time(now), number, outcome, come_back, size, leg))
@@ -77,17 +77,17 @@
             if isinstance(action, i.Trace):
                 role, _, rest = action.text.partition(" ")
                 node, _, state = rest.rpartition(" ")
-                run, count, failures = action.judged
+                run, count, failures = action.evidence
                 self.write(model.Breaker(self.record_time(now), role, node, state, run, count, failures))
 
     # calls from the program
 
     def began(
-        self, now: int, name: str, version: str, footprint: i.Footprint, drain_grace: int, purge_grace: int
+        self, now: int, name: str, version: str, footprint: i.Deployment, drain_grace: int, purge_grace: int
     ) -> None:
         services = [
-            model.Service(s.name, s.objective, s.stretch, s.viewer_timeout, s.revenue, s.late_share, s.effect,
-                          s.scope, s.remembered)
+            model.Service(s.name, s.objective, s.objective_per_transfer, s.viewer_timeout, s.revenue, s.late_share, s.idempotency,
+                          s.token_scope, s.token_lifetime)
             for s in footprint.services
         ]  # fmt: skip
         self.write(model.Began(self.record_time(now), self.writer.boot, name, version,
--- a/damsonstream/replay/alone.py
+++ b/damsonstream/replay/alone.py
@@ -79,7 +79,7 @@
                 ("unlock", "tokened", 3 * TICKS_PER_S, True),
             )
         )
-        footprint = i.Footprint(
+        footprint = i.Deployment(
             services=services,
             location="shop",
             gateways=1,
@@ -87,27 +87,27 @@
             models=("box", "hub", "vault"),
             parent_model="hub",
             origin_model="vault",
-            weights="rough",
-            ask_for_list=False,
-            ask_within=10 * TICKS_PER_S,
+            capacity_info="rough",
+            must_subscribe=False,
+            resubscribe_within=10 * TICKS_PER_S,
             client_kb_per_s=0.0,
-            notes="all",
-            joins=True,
-            direct=False,
-            tick=20,
-            cancel=True,
-            second_copies=True,
-            retry_after=True,
+            fill_codes="all",
+            collapses_fills=True,
+            allows_direct=False,
+            timer_tick=20,
+            allows_recall=True,
+            allows_hedges=True,
+            allows_retry_after=True,
             max_forwards=6,
             max_retry_after=5000,
             cold_share=0.3,
-            cold_for=4 * TICKS_PER_S,
+            cold_duration=4 * TICKS_PER_S,
             cold_multiple=4.0,
-            cold_span=TICKS_PER_S,
+            cold_overload_span=TICKS_PER_S,
             parent_cold_share=0.1,
-            parent_cold_for=6 * TICKS_PER_S,
+            parent_cold_duration=6 * TICKS_PER_S,
             parent_cold_multiple=4.0,
-            purge_settles=TICKS_PER_S,
+            purge_settle_time=TICKS_PER_S,
         )
         self.router, self.now, self.event_number = Router(), 0, 0
         self.events: list[tuple[int, int, Any]] = []  # heap of (time, number, event)
@@ -118,10 +118,10 @@
         self.caches = {f"c{n + 1}": Shelf(setting.cache_bytes) for n in range(setting.caches)}
         self.parents = {f"p{n + 1}": Shelf(setting.parent_bytes) for n in range(setting.parents)}
         self.dispatch(i.Started(setting.seed, footprint))
-        entries = [i.Entry(name, "shop", "active", 24.0, n, "box", 0) for n, name in enumerate(self.caches)]
-        entries += [i.Entry(name, "hubs", "active", 64.0, n, "hub", 0) for n, name in enumerate(self.parents)]
-        entries.append(i.Entry("o", "hubs", "active", 48.0, 0, "vault", 0))
-        self.dispatch(i.ListTold("full", tuple(entries)))
+        entries = [i.ListEntry(name, "shop", "active", 24.0, n, "box", 0) for n, name in enumerate(self.caches)]
+        entries += [i.ListEntry(name, "hubs", "active", 64.0, n, "hub", 0) for n, name in enumerate(self.parents)]
+        entries.append(i.ListEntry("o", "hubs", "active", 48.0, 0, "vault", 0))
+        self.dispatch(i.ListUpdate("full", tuple(entries)))
 
     def schedule(self, when: int, event: Any) -> None:
         """Schedules the end of an attempt (the arguments of `attempt_ended`), or a wake-up (None)."""
@@ -139,7 +139,7 @@
             service = 1 if get.tokened else 0
             time_left = int(self.setting.viewer_timeout * TICKS_PER_S)
             self.dispatch(
-                i.GetTaken(
+                i.GetReceived(
                     get.index, time_left, service, get.object_id, int(get.object_id, 16) % 64, 0.0, False
                 )
             )
@@ -185,8 +185,8 @@
                 case i.Forward():
                     self.forward(action)
                 case i.Recall():
-                    if (action.get, action.leg) in self.in_flight:
-                        self.schedule(self.now, (action.get, action.leg, "recalled", 0, 0, 0))
+                    if (action.get, action.attempt) in self.in_flight:
+                        self.schedule(self.now, (action.get, action.attempt, "recalled", 0, 0, 0))
                 case i.Shed():
                     self.finish(action.get, "shed")
                 case i.Errored():
@@ -222,7 +222,7 @@
         parent = self.parents.get(action.source)
         if parent is not None and parent.find(key, self.now, 0) is not None:
             first_byte, note = PARENT_FILL_TICKS + self.extra_delay(action.source), 2
-        elif parent is not None and action.copies:
+        elif parent is not None and action.only_if_cached:
             first_byte = PARENT_FILL_TICKS + self.extra_delay(action.source)
             return self.schedule(self.now + first_byte, (get, attempt, "lacking", first_byte, 0, 8))
         else:
--- a/damsonstream/routing/gateway.py
+++ b/damsonstream/routing/gateway.py
@@ -20,8 +20,8 @@
 
 log = logging.getLogger(__name__)
 Step = TypeVar("Step")
-TENTHS = 10  # a tick is a tenth of a millisecond
-NS = 100_000
+TICKS_PER_MS = 10  # a tick is a tenth of a millisecond
+NS_PER_TICK = 100_000
 
 
 class Clock:
@@ -37,15 +37,15 @@
         self.offset = unix() - monotonic()
 
     def now(self) -> int:
-        return (self.monotonic() + self.offset) // NS
+        return (self.monotonic() + self.offset) // NS_PER_TICK
 
     def from_unix_ms(self, unix_ms: int) -> int:
         """Converts the start time of a process; the same input always gives the same number."""
-        return unix_ms * TENTHS
+        return unix_ms * TICKS_PER_MS
 
     def age(self, unix_ms: int) -> int:
         """Returns how long ago the time was by the current Unix clock, or 0 if it is in the future."""
-        return max(0, self.unix() // NS - unix_ms * TENTHS)
+        return max(0, self.unix() // NS_PER_TICK - unix_ms * TICKS_PER_MS)
 
 
 class Inbox(Generic[Step]):
@@ -95,7 +95,7 @@
     """One router with its clock, its timer and the inboxes of the open GETs."""
 
     def __init__(
-        self, seed: int, deployment: i.Footprint, clock: Clock, observer: Observer | None = None,
+        self, seed: int, deployment: i.Deployment, clock: Clock, observer: Observer | None = None,
         peers: i.PeerGroup | None = None, hierarchy: i.Hierarchy | None = None,
     ) -> None:  # fmt: skip
         self.clock, self.router, self.observer = clock, Router(), observer
@@ -105,7 +105,7 @@
         self.timer: asyncio.TimerHandle | None = None  # for the earliest wake-up
         self.timer_at = 0
         self.last_number = 0
-        self.tell(i.Started(seed, deployment, peers, hierarchy))
+        self.handle_event(i.Started(seed, deployment, peers, hierarchy))
 
     def register(self, inbox: Inbox[i.Action]) -> int:
         """Registers the inbox of a new GET and returns the GET's number."""
@@ -116,7 +116,7 @@
     def unregister(self, get: int) -> None:
         self.inboxes.pop(get, None)
 
-    def tell(self, event: i.Event) -> None:
+    def handle_event(self, event: i.Event) -> None:
         """Hands an event to the router and carries out its actions."""
         now = self.clock.now()
         actions = self.router.handle(now, event)
@@ -132,23 +132,23 @@
                     self.set_timer()
                 case i.Trace():
                     log.info("decided", extra={"what": action.text})
-                case i.AskForList():
+                case i.SubscribeToList():
                     pass  # the bulletin sends the list unasked
 
-    def told(self, event: bulletin.Event) -> None:
+    def apply_bulletin(self, event: bulletin.Event) -> None:
         """Converts an event of the bulletin and hands it to the router."""
         match event:
             case bulletin.ListChanged():
                 entries = tuple(
-                    i.Entry(line.cache, line.location, line.state, line.units, line.cell, line.model,
+                    i.ListEntry(line.cache, line.location, line.state, line.units, line.cell, line.model,
                             self.clock.from_unix_ms(line.started_ms))
                     for line in event.entries
                 )  # fmt: skip
-                self.tell(i.ListTold("full" if event.whole else "changes", entries))
+                self.handle_event(i.ListUpdate("full" if event.whole else "changes", entries))
             case bulletin.PurgeTold():
-                self.tell(i.Purged(event.thing, event.group, self.clock.age(event.issued_ms)))
+                self.handle_event(i.Purged(event.thing, event.group, self.clock.age(event.issued_ms)))
 
-    def keep_time(self) -> None:
+    def start_timer(self) -> None:
         """Starts delivering the router's wake-ups in the running event loop."""
         self.loop = asyncio.get_running_loop()
         self.set_timer()
@@ -164,7 +164,7 @@
         if self.timer is not None:
             self.timer.cancel()
         self.timer_at = self.wake_times[0]
-        self.timer = self.loop.call_later((self.timer_at - self.clock.now()) / (1000 * TENTHS), self.on_timer)
+        self.timer = self.loop.call_later((self.timer_at - self.clock.now()) / (1000 * TICKS_PER_MS), self.on_timer)
 
     def on_timer(self) -> None:
         self.timer = None
@@ -174,7 +174,7 @@
             due = True
         try:
             if due:
-                self.tell(i.Woken())
+                self.handle_event(i.Woken())
         except Exception:
             log.exception("wake")  # the name of the event in the log
         self.set_timer()
--- a/damsonstream/routing/interface.py
+++ b/damsonstream/routing/interface.py
@@ -15,21 +15,21 @@
 
     name: str
     objective: int  # latency objective
-    stretch: float  # the objective grows by this multiple of the transfer time
+    objective_per_transfer: float  # the objective grows by this multiple of the transfer time
     viewer_timeout: int
     revenue: float  # for a GET returned in time
     late_share: float  # share of the revenue earned by a late answer
-    effect: str  # idempotent, tokened or non-idempotent
-    scope: str  # where the token of a tokened GET is recognized: all, zone or cell
-    remembered: int  # how long the token of a tokened GET is recognized
+    idempotency: str  # idempotent, tokened or non-idempotent
+    token_scope: str  # where the token of a tokened GET is recognized: all, zone or cell
+    token_lifetime: int  # how long the token of a tokened GET is recognized
     streamed: bool
-    fresh: int  # maximum age of a copy, 0: until purged
-    grace: int  # how much older than that a copy may be in a forward that allows no fill
-    passes: bool  # never cached, every GET goes to the origin
+    max_age: int  # maximum age of a copy, 0: until purged
+    stale_grace: int  # how much older than that a copy may be in a forward that allows no fill
+    uncacheable: bool  # never cached, every GET goes to the origin
 
 
 @dataclass(slots=True, frozen=True)
-class Footprint:
+class Deployment:
     """Configuration of the system that a gateway belongs to."""
 
     services: tuple[DeliveryService, ...]
@@ -39,37 +39,37 @@
     models: tuple[str, ...]
     parent_model: str
     origin_model: str
-    weights: str  # how accurate the capacity units of the list are: none, nominal, rough or live
-    ask_for_list: bool  # the list of caches must be subscribed to
-    ask_within: int  # time in which a lost subscription must be renewed
+    capacity_info: str  # how accurate the capacity units of the list are: none, nominal, rough or live
+    must_subscribe: bool  # the list of caches must be subscribed to
+    resubscribe_within: int  # time in which a lost subscription must be renewed
     client_kb_per_s: float  # transfer rate to clients, 0: unknown
-    notes: str  # which fill codes the caches report: all, hit or none
-    joins: bool  # caches collapse concurrent fills of an object
-    direct: bool  # GETs may be forwarded to a parent or the origin without a cache
-    tick: int  # resolution of timers
-    cancel: bool  # a forward can be recalled
-    second_copies: bool  # hedges are allowed
-    retry_after: bool  # a shed GET may carry a retry delay
+    fill_codes: str  # which fill codes the caches report: all, hit or none
+    collapses_fills: bool  # caches collapse concurrent fills of an object
+    allows_direct: bool  # GETs may be forwarded to a parent or the origin without a cache
+    timer_tick: int  # resolution of timers
+    allows_recall: bool  # a forward can be recalled
+    allows_hedges: bool  # hedges are allowed
+    allows_retry_after: bool  # a shed GET may carry a retry delay
     max_forwards: int  # for one GET
     max_retry_after: int
     cold_share: float  # share of its capacity that a cache has right after its start
-    cold_for: int  # time from a cache's start to its full capacity
+    cold_duration: int  # time from a cache's start to its full capacity
     cold_multiple: float  # load that makes a cold cache fail, as a multiple of its current capacity
-    cold_span: int  # time for which a cold cache sustains such a load
+    cold_overload_span: int  # time for which a cold cache sustains such a load
     parent_cold_share: float
-    parent_cold_for: int
+    parent_cold_duration: int
     parent_cold_multiple: float
-    purge_settles: int  # time after which a purge has reached every cache
+    purge_settle_time: int  # time after which a purge has reached every cache
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class ListEntry:
     """One entry of the list of caches: a cache, a parent or the origin."""
 
     cache: str
     location: str
     state: str  # active, leaving or left
-    units: float  # capacity in concurrent transfers
+    capacity: float  # capacity in concurrent transfers
     cell: int  # group of caches within the location that share tokens
     model: str
     started_at: int  # clock time of its last start, 0: unknown, the node is warm
@@ -144,27 +144,27 @@
     """The first event of a router."""
 
     seed: int
-    footprint: Footprint
+    deployment: Deployment
     peers: PeerGroup | None = None  # None: the gateway decides alone
-    tiers: Hierarchy | None = None  # None: any parent in hash order, then the origin
+    hierarchy: Hierarchy | None = None  # None: any parent in hash order, then the origin
 
 
 @dataclass(slots=True, frozen=True)
-class ListTold:
+class ListUpdate:
     """An update of the list of caches."""
 
     # changes: only changed entries; full: the whole list; cached: the whole list, as last known;
     # lost: no entries, the subscription to the list has ended
     kind: str
-    entries: tuple[Entry, ...]
+    entries: tuple[ListEntry, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class GetTaken:
+class GetReceived:
     """A GET was received."""
 
     get: int
-    left: int  # time until the viewer timeout
+    time_left: int  # time until the viewer timeout
     service: int  # index in Deployment.services
     object_id: str
     group: int  # purge group of the object
@@ -201,30 +201,30 @@
     """A forward has ended."""
 
     get: int
-    leg: int  # number of the forward within the GET, from 0
+    attempt: int  # number of the forward within the GET, from 0
     cache: str
     result: str  # returned, errored, shed, expired, unreached, broken, recalled, unsent or lacking (a miss)
-    took: int
+    duration: int
     first_byte: int  # time the cache waited for the source's first byte, 0: unknown
     # 0: unknown, 1: hit, 2: filled, 3: filled through the origin, 4: joined another fill, 5: stale copy,
     # 6: source refused, 7: source broke, 8: source has no copy, 9: no slot, 10: origin failed
-    note: int
-    over: bool  # the GET has its final answer or its client has left
+    fill_code: int
+    get_done: bool  # the GET has its final answer or its client has left
     # lost with its connection, which also carried another forward that is reported with False: one failure
-    shared: bool = False
+    shared_failure: bool = False
     # the cache's load report, each value where the platform provides it: held (GETs in progress), busy (share
     # of its CPU), hits (hit ratio), link (load of the link into the location, 1: just full)
     load: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class PeersTold:
+class PeerVerdict:
     """A verdict of the peer gateways on a node."""
 
-    source: int
+    node: int
     # dead: enough gateways observe only failures; bad or good: one trial of another gateway failed or
     # succeeded; well: as many trials succeeded as close a breaker
-    what: str
+    verdict: str
 
 
 @dataclass(slots=True, frozen=True)
@@ -232,7 +232,7 @@
     """A requested wake-up is due."""
 
 
-Event = Started | ListTold | GetTaken | Purged | ClientLeft | AnswerStarted | ForwardEnded | PeersTold | Woken
+Event = Started | ListUpdate | GetReceived | Purged | ClientLeft | AnswerStarted | ForwardEnded | PeerVerdict | Woken
 
 
 @dataclass(slots=True, frozen=True)
@@ -244,10 +244,10 @@
     source: str  # the cache itself: no fill is allowed
     retention_rank: int  # the cache's retention priority for the object
     timeout: int  # 0: until the viewer timeout
-    age: int  # maximum age of an acceptable copy, 0: the service's default
-    join: bool  # collapse the fill with a concurrent one
+    max_age: int  # maximum age of an acceptable copy, 0: the service's default
+    collapse: bool  # collapse the fill with a concurrent one
     refresh: bool  # request the option "refresh" of the caches' protocol
-    copies: bool  # the source serves only what it has cached
+    only_if_cached: bool  # the source serves only what it has cached
 
 
 @dataclass(slots=True, frozen=True)
@@ -255,7 +255,7 @@
     """Cancels a forward."""
 
     get: int
-    leg: int
+    attempt: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -263,7 +263,7 @@
     """Answers the client that it may repeat the GET later."""
 
     get: int
-    come_back: int  # 0: no retry delay is given
+    retry_after: int  # 0: no retry delay is given
 
 
 @dataclass(slots=True, frozen=True)
@@ -281,7 +281,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskForList:
+class SubscribeToList:
     """Subscribes to the list of caches."""
 
 
@@ -291,7 +291,7 @@
 
     text: str  # role, name and state, separated by spaces
     # why a breaker opened: failures in a row, fills in the window, weighted failures in the window
-    judged: tuple[int, float, float] = (0, 0.0, 0.0)
+    evidence: tuple[int, float, float] = (0, 0.0, 0.0)
 
 
-Action = Forward | Recall | Shed | Errored | Wake | AskForList | Trace
+Action = Forward | Recall | Shed | Errored | Wake | SubscribeToList | Trace
--- a/damsonstream/routing/life.py
+++ b/damsonstream/routing/life.py
@@ -17,7 +17,7 @@
 
 from damsonstream.protocol import resp
 from damsonstream.routing import interface as i
-from damsonstream.routing.gateway import TENTHS, Gateway, Inbox
+from damsonstream.routing.gateway import TICKS_PER_MS, Gateway, Inbox
 
 log = logging.getLogger(__name__)
 
@@ -33,16 +33,16 @@
     def stop(self) -> None: ...
 
 
-Ending = resp.Answer | resp.Lost
+ForwardEnd = resp.Answer | resp.Lost
 Sender = Callable[
-    [str, bytes, bytes, Callable[[Ending], None]], ForwardHandle
+    [str, bytes, bytes, Callable[[ForwardEnd], None]], ForwardHandle
 ]  # cache, id, command, callback for the end
 
 
 @dataclass(slots=True, frozen=True)
 class ForwardDone:
     attempt: int
-    end: Ending
+    end: ForwardEnd
 
 
 Step = i.Action | ClientGone | ForwardDone
@@ -77,19 +77,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Final:
+class FinalAnswer:
     """The final answer: returned, shed or errored."""
 
     outcome: str
     body: bytes = b""
-    same: bool = False  # the client's copy is still valid
-    come_back_ms: int = 0
+    not_modified: bool = False  # the client's copy is still valid
+    retry_after_ms: int = 0
 
 
-Job = tuple[Get, Callable[[Final], None]]
+Job = tuple[Get, Callable[[FinalAnswer], None]]
 
 
-class Lives:
+class GetTasks:
     """The tasks of the open GETs.
 
     Tasks are reused: starting an anyio task for each GET took a sixth of the CPU core at 2,000 GETs/s.
@@ -101,11 +101,11 @@
         self.gateway, self.send = gateway, send
         self.group: TaskGroup | None = None
         self.idle_tasks: list[asyncio.Future[Job]] = []
-        self.idents: set[bytes] = set()  # client's ids of the open GETs
+        self.open_ids: set[bytes] = set()  # client's ids of the open GETs
 
-    def begin(self, get: Get, answer: Callable[[Final], None]) -> None:
+    def start(self, get: Get, answer: Callable[[FinalAnswer], None]) -> None:
         assert self.group is not None
-        self.idents.add(get.ident)
+        self.open_ids.add(get.ident)
         if self.idle_tasks:
             self.idle_tasks.pop().set_result((get, answer))
         else:
@@ -114,7 +114,7 @@
     async def worker(self, job: Job) -> None:
         while True:
             await run_get(self.gateway, self.send, *job)
-            self.idents.discard(job[0].ident)
+            self.open_ids.discard(job[0].ident)
             if len(self.idle_tasks) >= self.MAX_IDLE_TASKS:
                 return
             waiter = asyncio.get_running_loop().create_future()
@@ -122,7 +122,7 @@
             job = await waiter
 
 
-async def run_get(gateway: Gateway, send: Sender, get: Get, answer: Callable[[Final], None]) -> None:
+async def run_get(gateway: Gateway, send: Sender, get: Get, answer: Callable[[FinalAnswer], None]) -> None:
     """Carries out the router's actions for one GET until it is answered and all its forwards have ended."""
     clock, inbox, pending, attempts, finished = (
         gateway.clock,
@@ -132,10 +132,10 @@
         False,
     )
     has_timeouts = False  # whether any forward has a timeout of its own
-    deadline = clock.now() + get.time_left_ms * TENTHS
+    deadline = clock.now() + get.time_left_ms * TICKS_PER_MS
     number, observer = gateway.register(inbox), gateway.observer  # type: ignore[arg-type]
 
-    def forward_done(attempt: int, end: Ending, get_done: bool) -> None:
+    def forward_done(attempt: int, end: ForwardEnd, get_done: bool) -> None:
         forward = pending.pop(attempt)
         now, stamp = clock.now(), 0
         took = now - forward.sent_at
@@ -145,29 +145,29 @@
             )
         else:
             event = i.ForwardEnded(number, attempt, forward.cache, end.result, took,
-                                   end.waited_ms * TENTHS, end.note, get_done, False,
+                                   end.waited_ms * TICKS_PER_MS, end.note, get_done, False,
                                    end.load)  # fmt: skip
             stamp = end.stamp
         if observer is not None:
             observer.came(now, event, stamp)
-        gateway.tell(event)
+        gateway.handle_event(event)
 
-    def send_answer(final: Final, attempt: int = -1) -> None:
+    def send_answer(final: FinalAnswer, attempt: int = -1) -> None:
         nonlocal finished
         if not finished:
             finished = True
             answer(final)
             if observer is not None:
                 size = len(final.body)
-                observer.final(clock.now(), number, final.outcome, final.come_back_ms, size, attempt)
+                observer.final(clock.now(), number, final.outcome, final.retry_after_ms, size, attempt)
 
     try:
         if observer is not None:
             observer.opened(clock.now(), number, get.ident, get.service, get.object_id, get.group,
-                            get.time_left_ms * TENTHS, get.is_retry)  # fmt: skip
-        gateway.tell(
-            i.GetTaken(
-                number, get.time_left_ms * TENTHS, get.service, get.object_id, get.group, 0.0, get.is_retry
+                            get.time_left_ms * TICKS_PER_MS, get.is_retry)  # fmt: skip
+        gateway.handle_event(
+            i.GetReceived(
+                number, get.time_left_ms * TICKS_PER_MS, get.service, get.object_id, get.group, 0.0, get.is_retry
             )
         )
         while not finished or pending or inbox.steps:
@@ -176,7 +176,7 @@
                     (forward.expires_at for forward in pending.values() if forward.expires_at),
                     default=deadline,
                 )
-                with anyio.move_on_after((expiry - clock.now()) / (1000 * TENTHS)) as waiting:
+                with anyio.move_on_after((expiry - clock.now()) / (1000 * TICKS_PER_MS)) as waiting:
                     step = await inbox.next()
                 if waiting.cancelled_caught:
                     for attempt in [
@@ -201,14 +201,14 @@
                     wait = min(deadline, now + step.timeout) if step.timeout else deadline
                     command = resp.forward(
                         get.ident, get.fixed_fields, get.body,
-                        wait_ms=max(1, (wait - now) // TENTHS),
+                        wait_ms=max(1, (wait - now) // TICKS_PER_MS),
                         source=step.source if step.source != step.cache else "",
                         rank=step.retention_rank,
-                        age_ms=max(1, step.age // TENTHS) if step.age else 0,
-                        join=step.join, renew=step.refresh, copies=step.copies,
+                        age_ms=max(1, step.max_age // TICKS_PER_MS) if step.max_age else 0,
+                        join=step.collapse, renew=step.refresh, copies=step.only_if_cached,
                     )  # fmt: skip
 
-                    def on_end(ending: Ending, attempt: int = attempt) -> None:
+                    def on_end(ending: ForwardEnd, attempt: int = attempt) -> None:
                         inbox.put(ForwardDone(attempt, ending))
 
                     forward = PendingForward(
@@ -224,26 +224,26 @@
                     good = isinstance(step.end, resp.Answer) and step.end.result == "returned"
                     if good and not finished:
                         assert isinstance(step.end, resp.Answer)
-                        send_answer(Final("returned", step.end.body, step.end.same), step.attempt)
+                        send_answer(FinalAnswer("returned", step.end.body, step.end.same), step.attempt)
                     forward_done(step.attempt, step.end, finished)
                 case i.Recall():
-                    if step.leg in pending:
-                        pending[step.leg].handle.stop()
-                        forward_done(step.leg, resp.Lost("recalled"), finished)
+                    if step.attempt in pending:
+                        pending[step.attempt].handle.stop()
+                        forward_done(step.attempt, resp.Lost("recalled"), finished)
                 case i.Shed():
-                    send_answer(Final("shed", come_back_ms=step.come_back // TENTHS))
+                    send_answer(FinalAnswer("shed", retry_after_ms=step.retry_after // TICKS_PER_MS))
                 case i.Errored():
-                    send_answer(Final("errored"))
+                    send_answer(FinalAnswer("errored"))
                 case ClientGone():
                     if not finished:
                         finished = True
                         if observer is not None:
                             observer.left(clock.now(), number)
-                        gateway.tell(i.ClientLeft(number))
+                        gateway.handle_event(i.ClientLeft(number))
     except Exception:
         # "life" is the name of the event in the log
         log.exception("life", extra={"get": get.ident})
-        send_answer(Final("errored"))
+        send_answer(FinalAnswer("errored"))
     finally:
         gateway.unregister(number)
         for forward in pending.values():
--- a/damsonstream/routing/router.py
+++ b/damsonstream/routing/router.py
@@ -32,7 +32,7 @@
         return (self.state >> 33) / 2**31
 
 
-def digest(text: str) -> int:
+def stable_hash(text: str) -> int:
     """Returns a 64-bit hash of the text that is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
@@ -168,13 +168,13 @@
 class Node:
     """A cache, parent or origin of the list of caches, and what this gateway has observed of it."""
 
-    def __init__(self, entry: i.Entry, role: str, rng: Rng) -> None:
+    def __init__(self, entry: i.ListEntry, role: str, rng: Rng) -> None:
         self.entry, self.role, self.name = entry, role, entry.cache
-        self.hash, self.breaker = digest(entry.cache), Breaker(rng, role == "origin")
+        self.hash, self.breaker = stable_hash(entry.cache), Breaker(rng, role == "origin")
         # the id of the node in the protocol between gateways
-        self.known, self.is_local = self.hash & 0xFFFFFFFF, role == "cache"
+        self.peer_id, self.is_local = self.hash & 0xFFFFFFFF, role == "cache"
         # forwards in flight count those to the node and those with it as the source
-        self.active, self.removed, self.out = False, False, 0
+        self.active, self.removed, self.in_flight = False, False, 0
         # token bucket of transfer time while the node is cold; time of the last refill
         self.cold_credit, self.cold_credit_at = 0.0, -1
         # GETs of all gateways, as last reported by the cache
@@ -253,16 +253,16 @@
         match event:
             case i.Started():
                 self.start(event)
-            case i.ListTold():
+            case i.ListUpdate():
                 self.update_list(event)
-            case i.GetTaken():
+            case i.GetReceived():
                 self.start_get(event)
             case i.ForwardEnded():
                 self.forward_ended(event)
-            case i.PeersTold():
+            case i.PeerVerdict():
                 for node in self.nodes.values():
-                    if node.known == event.source and (event.what != "dead" or self.may_open(node)):
-                        self.breaker_changed(node, node.breaker.apply_verdict(now, event.what))
+                    if node.peer_id == event.node and (event.verdict != "dead" or self.may_open(node)):
+                        self.breaker_changed(node, node.breaker.apply_verdict(now, event.verdict))
             case i.Purged():
                 key = event.object_id or event.group
                 self.purges[key] = max(self.purges.get(key, 0), now - event.age)
@@ -277,22 +277,22 @@
 
     def start(self, event: i.Started) -> None:
         """Initializes the router from its configuration."""
-        self.config, self.rng, self.peers = event.footprint, Rng(event.seed), event.peers
-        self.hierarchy = event.tiers
+        self.config, self.rng, self.peers = event.deployment, Rng(event.seed), event.peers
+        self.hierarchy = event.hierarchy
         self.services = [ServiceState(service) for service in self.config.services]
         self.nodes: dict[str, Node] = {}  # those of the list, and removed ones with pending forwards
         self.caches, self.parents = tuple[Node, ...](), tuple[Node, ...]()
         self.origin: Node | None = None
         self.gets: dict[int, Get] = {}  # until their final answers
-        self.outs: dict[tuple[int, int], PendingForward] = {}  # by GET and attempt, until each forward ends
+        self.pending: dict[tuple[int, int], PendingForward] = {}  # by GET and attempt, until each forward ends
         self.timers: list[tuple[int, int, int]] = []  # heap of (time, GET, attempt or kind of timer)
         self.wake_at, self.swept_at, self.lost_subscriptions, self.units_known = (
             -1,
             0,
             0,
-            self.config.weights in ("nominal", "rough"),
+            self.config.capacity_info in ("nominal", "rough"),
         )
-        self.line: list[tuple[bool, float, int, int]] = []  # (retry, -revenue rate, queued at, GET)
+        self.queue: list[tuple[bool, float, int, int]] = []  # (retry, -revenue rate, queued at, GET)
         self.purges: dict[str | int, int] = {}  # time of the purge by object or group, until it has settled
         # load of the link into the location, 1: just full; EWMA of the revenue rates
         self.link_estimate, self.mean_revenue_rate = 1.0, 0.0
@@ -305,14 +305,14 @@
         # caches below this load accept spilled GETs
         self.spill_target_load = 0.6 / max(2, self.config.location_gateways)
         # without collapsing, each spilled GET costs a fill
-        self.spill_threshold = 0.65 if self.config.joins else 0.8
-        self.actions += [i.AskForList()] * self.config.ask_for_list
+        self.spill_threshold = 0.65 if self.config.collapses_fills else 0.8
+        self.actions += [i.SubscribeToList()] * self.config.must_subscribe
 
-    def update_list(self, event: i.ListTold) -> None:
+    def update_list(self, event: i.ListUpdate) -> None:
         """Applies an update of the list of caches, or requests the list again if it was lost."""
         if event.kind == "lost":
             self.lost_subscriptions += 1
-            delay = min(S << min(self.lost_subscriptions, 6), max(S, self.config.ask_within // 8))
+            delay = min(S << min(self.lost_subscriptions, 6), max(S, self.config.resubscribe_within // 8))
             return heappush(self.timers, (self.now + int(delay * (0.5 + self.rng.random())), 0, RESUBSCRIBE))
         self.lost_subscriptions = 0
         for node in self.nodes.values() if event.kind != "changes" else ():
@@ -326,23 +326,23 @@
             if entry.started_at and entry.started_at != node.entry.started_at:
                 node.reset()  # a new process: observations of the old one do not apply
                 if self.peers:
-                    self.peers.anew(node.known)
+                    self.peers.anew(node.peer_id)
                 if self.hierarchy:
                     self.hierarchy.turned(node.name, "Closed")
             node.entry, node.active, node.removed = entry, entry.state == "active", entry.state == "left"
             # a fixed limit of 64 is too low for a parent with capacity for 1000 transfers
             if node.role == "parent" and self.units_known:
-                node.limit = max(64.0, 2.2 * entry.units / self.config.gateways)
-        self.nodes = {n.name: n for n in self.nodes.values() if n.out or not n.removed}
+                node.limit = max(64.0, 2.2 * entry.capacity / self.config.gateways)
+        self.nodes = {n.name: n for n in self.nodes.values() if n.in_flight or not n.removed}
         active = [n for n in self.nodes.values() if n.active]
         self.caches, self.parents = (tuple(n for n in active if n.role == r) for r in ("cache", "parent"))
         self.origin = next((n for n in active if n.role == "origin"), None)
         if self.peers:
             remote = (*self.parents, *([self.origin] if self.origin else []))
-            self.peers.listed(tuple(n.known for n in self.caches), tuple(n.known for n in remote))
+            self.peers.listed(tuple(n.peer_id for n in self.caches), tuple(n.peer_id for n in remote))
         self.dispatch_queue()
 
-    def start_get(self, event: i.GetTaken) -> None:
+    def start_get(self, event: i.GetReceived) -> None:
         """Starts routing a GET."""
         if self.peers:
             self.peers.asked(self.now)
@@ -354,8 +354,8 @@
         revenue_rate = service.config.revenue / (transfer_time or service.mean_transfer)
         self.mean_revenue_rate += 0.02 * (revenue_rate - self.mean_revenue_rate)
         deadline, identity = (
-            self.now + event.left - self.config.tick,
-            (digest(event.object_id), event.object_id, event.group),
+            self.now + event.time_left - self.config.timer_tick,
+            (stable_hash(event.object_id), event.object_id, event.group),
         )
         get = self.gets[event.get] = Get(
             event.get, service, *identity, transfer_time, deadline, revenue_rate, self.rng.random()
@@ -383,14 +383,14 @@
             heappush(
                 self.timers, (min(self.now + get.service.max_queue_time, get.deadline), get.id, QUEUE_TIMEOUT)
             )
-        self.line.append((get.attempts > 0, -get.revenue_rate, get.queued_at, get.id))
+        self.queue.append((get.attempts > 0, -get.revenue_rate, get.queued_at, get.id))
 
     def dispatch_queue(self, sweep: bool = False) -> None:
         """Dispatches queued GETs again, in queue order.
 
         A sweep tries all of them; otherwise only those that may find capacity now.
         """
-        queued, self.line = sorted(self.line), []
+        queued, self.queue = sorted(self.queue), []
         healthy = [n for n in self.caches if n.breaker.state == "Closed" and n.breaker.traffic_share >= 1]
         may_spill = bool(queued) and any(self.load(n) < self.spill_target_load for n in healthy)
         for entry in queued:
@@ -404,29 +404,29 @@
                 ):
                     self.dispatch(get)
                 else:
-                    self.line.append(entry)
+                    self.queue.append(entry)
 
     def forward(self, get: Get, cache: Node) -> None:
         """Sends a forward to the cache and starts its overdue timer."""
         now, config = self.now, get.service.config
         source = self.pick_source(get, cache)
-        overloaded = source.out >= source.limit or not self.link_admits(get)
-        if (overloaded or cache.failures_in_row) and not get.miss_level and not config.passes:
+        overloaded = source.in_flight >= source.limit or not self.link_admits(get)
+        if (overloaded or cache.failures_in_row) and not get.miss_level and not config.uncacheable:
             # The source or the link is full, or the cache may be failing: look for a copy in the cache first,
             # and use a source only on a miss.
             source = cache
         only_if_cached = (
-            source.role == "parent" and not config.passes and get.miss_level < 2 and self.origin_strained()
+            source.role == "parent" and not config.uncacheable and get.miss_level < 2 and self.origin_strained()
         )
         nodes = [cache] if source is cache else [cache, source]
         if get.miss_level == 2 and self.origin and source is not self.origin:
             nodes.append(self.origin)  # the parent is known to miss the object and will ask the origin
         trials = [node for node in nodes if node.breaker.state != "Closed"]
         for node in nodes:
-            node.out += 1
+            node.in_flight += 1
             node.breaker.trial_in_flight |= node in trials
             if self.peers and node in trials:
-                self.peers.trying(now, node.known, node.is_local)
+                self.peers.trying(now, node.peer_id, node.is_local)
             cost, node.cold_credit = (
                 [float(now), get.service.mean_transfer],
                 node.cold_credit - get.service.mean_transfer,
@@ -443,12 +443,12 @@
             get, get.attempts, cache, source, now, cost, only_if_cached, nodes, trials, budget
         )
         get.attempts, get.queued_at = get.attempts + 1, -1
-        if config.effect != "idempotent" and get.may_have_run is None:
+        if config.idempotency != "idempotent" and get.may_have_run is None:
             get.may_have_run = (now, cache)
-        get.pending[forward.attempt] = self.outs[get.id, forward.attempt] = forward
+        get.pending[forward.attempt] = self.pending[get.id, forward.attempt] = forward
         max_age, normal_fill = self.max_copy_age(get, source is cache), source is not cache and not trials
-        refresh = config.fresh > 0 and not max_age and normal_fill and self.warm_share(source) >= 1
-        collapse = self.config.joins and forward.attempt == 0 and not trials
+        refresh = config.max_age > 0 and not max_age and normal_fill and self.warm_share(source) >= 1
+        collapse = self.config.collapses_fills and forward.attempt == 0 and not trials
         self.actions.append(
             i.Forward(get.id, cache.name, source.name, 1, 0, max_age, collapse, refresh, only_if_cached)
         )
@@ -469,7 +469,7 @@
             return False
         slow = (
             origin.limit < 32 or self.origin_overload() > ORIGIN_STRAIN
-            if self.config.notes == "all"
+            if self.config.fill_codes == "all"
             else most_failing
         )
         return slow or origin.breaker.state != "Closed"
@@ -509,7 +509,7 @@
         if nodes not in get.orders:
             weighted = self.units_known and nodes is self.caches
             scores = {
-                n: -math.log(hash_fraction(get.hash, n.hash)) / (n.entry.units if weighted else 1)
+                n: -math.log(hash_fraction(get.hash, n.hash)) / (n.entry.capacity if weighted else 1)
                 for n in nodes
             }
             get.orders[nodes] = sorted(nodes, key=scores.__getitem__)
@@ -527,7 +527,7 @@
         ]
         if self.hierarchy:  # a cache that the hierarchy does not contain has no known sources
             candidates = [n for n in candidates if self.hierarchy.has(n.name)]
-        elif not candidates and self.config.direct:
+        elif not candidates and self.config.allows_direct:
             candidates = [n for n in self.usable_sources(get) if self.in_token_scope(get, n)]
         spills = candidates and self.load(candidates[0]) >= self.spill_threshold
         return next(
@@ -553,7 +553,7 @@
 
     def usable(self, node: Node, get: Get) -> bool:
         """Returns whether the GET may use the node, by its breaker, reduced share and cold budget."""
-        if node in get.avoided or (node.breaker.state != "Closed" and not self.allows(node)):
+        if node in get.avoided or (node.breaker.state != "Closed" and not self.breaker_allows(node)):
             return False
         if node.breaker.traffic_share >= 1 and not node.entry.started_at:
             return True  # shortcut with the same result as the rest of the function
@@ -563,11 +563,11 @@
             share >= 1 or hash_fraction(get.hash ^ 0x5DEECE66D, node.hash) < share
         ) and self.has_cold_budget(node, get)
 
-    def allows(self, node: Node) -> bool:
+    def breaker_allows(self, node: Node) -> bool:
         """Returns whether the node's breaker allows a forward and, for a trial, whether it is our turn."""
         old_state, allowed = node.breaker.state, node.breaker.allows(self.now)
         if self.peers and allowed and node.breaker.state == "Half-Open":
-            allowed = self.peers.turn(self.now, node.known, node.is_local, node.breaker.until)
+            allowed = self.peers.turn(self.now, node.peer_id, node.is_local, node.breaker.until)
         if node.breaker.state != old_state:
             self.actions.append(i.Trace(f"{node.role} {node.name} Half-Open"))
         return allowed
@@ -581,12 +581,12 @@
         """
         limit, gateways = node.limit, self.config.location_gateways
         if self.units_known and node.role == "cache":
-            limit = 2.2 * node.entry.units * self.warm_share(node)
+            limit = 2.2 * node.entry.capacity * self.warm_share(node)
         # an old report could keep a cache unused forever
         if self.now - node.load_reported_at >= S or gateways == 1:
-            return node.out / max(3.0, limit / gateways)
+            return node.in_flight / max(3.0, limit / gateways)
         freshness = min(1.0, 1.5 - (self.now - node.load_reported_at) / S)
-        return max(node.out, node.reported_load * freshness) / max(6.0, limit)
+        return max(node.in_flight, node.reported_load * freshness) / max(6.0, limit)
 
     def saturated(self, node: Node, get: Get) -> bool:
         """Returns whether the node has no capacity for the GET now."""
@@ -594,7 +594,7 @@
             return self.load(node) >= (
                 1.0 if get.revenue_rate > self.mean_revenue_rate else self.spill_threshold
             )
-        return node.out >= node.limit or not self.allows(node)
+        return node.in_flight >= node.limit or not self.breaker_allows(node)
 
     def blocking_node(self, get: Get, cache: Node) -> Node | None:
         """Returns the node that lacks capacity for the GET, or None.
@@ -612,32 +612,32 @@
         """
         config = get.service.config
         exhausted = self.now >= get.deadline or get.attempts >= self.config.max_forwards
-        if exhausted or (get.pending and not self.config.second_copies):
+        if exhausted or (get.pending and not self.config.allows_hedges):
             return False
-        if get.may_have_run is None or config.effect == "idempotent":
+        if get.may_have_run is None or config.idempotency == "idempotent":
             return True
         return (
-            config.effect == "tokened"
-            and self.now + self.config.tick < get.may_have_run[0] + config.remembered
+            config.idempotency == "tokened"
+            and self.now + self.config.timer_tick < get.may_have_run[0] + config.token_lifetime
         )
 
     def in_token_scope(self, get: Get, node: Node) -> bool:
         """Returns whether the node shares the token scope of the forward that may have executed."""
-        scope, entry = get.service.config.scope, node.entry
+        scope, entry = get.service.config.token_scope, node.entry
         first = get.may_have_run[1].entry if get.may_have_run and scope != "all" else entry
         return entry.location == first.location and (scope != "cell" or entry.cell == first.cell)
 
     def may_shed(self, get: Get) -> bool:
         """Returns whether the client may safely repeat the GET, so that it is shed rather than errored."""
-        effect, scope = get.service.config.effect, get.service.config.scope
+        effect, scope = get.service.config.idempotency, get.service.config.token_scope
         return get.may_have_run is None or effect == "idempotent" or (effect, scope) == ("tokened", "all")
 
     def warm_share(self, node: Node) -> float:
         """Returns the share of its capacity that a cache or parent surely has since its start; 1: warm."""
         config, age = self.config, max(0, self.now - node.entry.started_at)
         for_cache, for_parent = (
-            (config.cold_share, config.cold_for),
-            (config.parent_cold_share, config.parent_cold_for),
+            (config.cold_share, config.cold_duration),
+            (config.parent_cold_share, config.parent_cold_duration),
         )
         share, duration = for_parent if node.role == "parent" else for_cache
         warm = node.role == "origin" or not node.entry.started_at or age >= duration
@@ -655,7 +655,7 @@
         is_parent = node.role == "parent"
         multiple = config.parent_cold_multiple if is_parent else config.cold_multiple
         own_share = 1 / (config.gateways if is_parent else config.location_gateways)
-        capacity = node.entry.units * (self.peers.part(self.now, not is_parent) if self.peers else own_share)
+        capacity = node.entry.capacity * (self.peers.part(self.now, not is_parent) if self.peers else own_share)
         # unknown capacity: use the load this gateway puts on warm nodes of the same role
         if not self.units_known:
             warm_nodes = [n for n in (self.parents if is_parent else self.caches) if self.warm_share(n) >= 1]
@@ -664,7 +664,7 @@
             )
             capacity = requested / (3 * S * len(warm_nodes)) if warm_nodes else 0.0
         rate = 0.5 * multiple * warm_share * capacity  # 0.5: reserve for random variation
-        max_credit = max(rate * config.cold_span, *(service.mean_transfer for service in self.services))
+        max_credit = max(rate * config.cold_overload_span, *(service.mean_transfer for service in self.services))
         # first use since its start; random, to desynchronize gateways
         if node.cold_credit_at < node.entry.started_at:
             node.cold_credit, node.cold_credit_at = self.rng.random() * max_credit, self.now
@@ -680,10 +680,10 @@
         Until a purge has settled at all caches, copies older than the purge are refused.
         """
         config = get.service.config
-        max_age = config.fresh + config.grace if no_fill and config.fresh and config.grace else 0
+        max_age = config.max_age + config.stale_grace if no_fill and config.max_age and config.stale_grace else 0
         purged_at = max(self.purges.get(get.object_id, -1), self.purges.get(get.group, -1))
-        if purged_at >= 0 and self.now - purged_at < self.config.purge_settles:
-            return min(max(1, self.now - purged_at), max_age or config.fresh or MASK_64)
+        if purged_at >= 0 and self.now - purged_at < self.config.purge_settle_time:
+            return min(max(1, self.now - purged_at), max_age or config.max_age or MASK_64)
         return max_age
 
     def blamed_node(self, forward: PendingForward, event: i.ForwardEnded | None) -> Node | None:
@@ -696,15 +696,15 @@
         """
         cache, source = forward.cache, forward.source
         # fill codes (see interface.ForwardEnded): 8: the source has no copy, 9: no slot
-        if event and (event.note in (8, 9) or event.result in ("lacking", "unsent", "recalled")):
+        if event and (event.fill_code in (8, 9) or event.result in ("lacking", "unsent", "recalled")):
             return None
         # 10: the origin failed
-        if event and (event.note == 10 or event.result == "unreached"):
-            return self.origin if event.note == 10 else cache
+        if event and (event.fill_code == 10 or event.result == "unreached"):
+            return self.origin if event.fill_code == 10 else cache
         # 6 and 7: the source refused or broke the connection
-        if event and source is not cache and event.note in (6, 7):
-            return self.blamed_for_timeout(forward) if event.took > S // 2 else source
-        if event and source is not cache and event.result == "shed" and event.took > LOCAL_REFUSAL_TIME:
+        if event and source is not cache and event.fill_code in (6, 7):
+            return self.blamed_for_timeout(forward) if event.duration > S // 2 else source
+        if event and source is not cache and event.result == "shed" and event.duration > LOCAL_REFUSAL_TIME:
             return forward.nodes[-1]  # the origin, if the parent was known to miss the object
         if (
             source is not cache
@@ -727,7 +727,7 @@
         parent_filled = (
             source.role == "parent" and source.ok_at >= forward.sent_at and not forward.only_if_cached
         )
-        if (parent_filled and self.config.notes == "all") or len(forward.nodes) > 2:
+        if (parent_filled and self.config.fill_codes == "all") or len(forward.nodes) > 2:
             return self.origin if self.origin and self.origin.on_time_at < forward.sent_at else None
         return source if any(n and n is not source and n.breaker.state == "Closed" for n in sources) else None
 
@@ -735,7 +735,7 @@
         """Records an outcome in the node's breaker, and reports it to the peers and the hierarchy."""
         half_open = trial and node.breaker.state == "Half-Open"
         if self.peers and half_open:
-            self.peers.tried(self.now, node.known, node.is_local, weight < 1)
+            self.peers.tried(self.now, node.peer_id, node.is_local, weight < 1)
             if self.hierarchy:
                 self.hierarchy.saw(self.now, node.name, weight >= 1)
         else:
@@ -745,7 +745,7 @@
     def report_outcome(self, node: Node, failed: bool) -> None:
         """Reports an outcome at the node to the peers and the hierarchy."""
         if self.peers:
-            self.peers.saw(self.now, node.known, node.is_local, failed)
+            self.peers.saw(self.now, node.peer_id, node.is_local, failed)
         if self.hierarchy:
             self.hierarchy.saw(self.now, node.name, failed)
 
@@ -763,18 +763,18 @@
 
     def forward_ended(self, event: i.ForwardEnded) -> None:
         """Learns from the end of a forward, and retries, queues or gives up a GET that has no answer yet."""
-        forward = self.outs.pop((event.get, event.leg), None)
+        forward = self.pending.pop((event.get, event.attempt), None)
         if forward is None:
             return
         get, cache, source = forward.get, forward.cache, forward.source
         get.pending.pop(forward.attempt, None)
         for node in forward.nodes:
-            node.out -= 1
+            node.in_flight -= 1
         if "held" in event.load:
             cache.reported_load, cache.load_reported_at = event.load["held"], self.now
         # at full CPU the load is unknown, so assume more each time
         elif "busy" in event.load and self.units_known:
-            capacity, busy = cache.entry.units * self.warm_share(cache), event.load["busy"]
+            capacity, busy = cache.entry.capacity * self.warm_share(cache), event.load["busy"]
             cache.reported_load = (
                 busy * capacity if busy < 0.9 else min(4 * capacity, 1.5 * max(capacity, cache.reported_load))
             )
@@ -783,8 +783,8 @@
             self.link_estimate, self.link_updated_at = event.load["link"], self.now
         # fill codes 2 and 3: filled, by the source itself or through the origin
         returned, alive = event.result == "returned", event.result in ("returned", "lacking")
-        filled = event.note in (2, 3) or (returned and self.config.notes == "none")
-        blamed = None if returned or forward.blamed or event.shared else self.blamed_node(forward, event)
+        filled = event.fill_code in (2, 3) or (returned and self.config.fill_codes == "none")
+        blamed = None if returned or forward.blamed or event.shared_failure else self.blamed_node(forward, event)
         if alive:
             cache.failures_in_row, cache.ok_at = 0, self.now
         if alive or blamed is cache:
@@ -796,9 +796,9 @@
             node.breaker.trial_in_flight = False
         if returned:
             self.update_estimates(get, cache, event)
-        elif event.result == "shed" and event.took <= LOCAL_REFUSAL_TIME and event.note != 9:
-            cache.limit = max(8.0, min(cache.limit, max(cache.out, cache.reported_load) + 1.0) * 0.95)
-        if event.over:
+        elif event.result == "shed" and event.duration <= LOCAL_REFUSAL_TIME and event.fill_code != 9:
+            cache.limit = max(8.0, min(cache.limit, max(cache.in_flight, cache.reported_load) + 1.0) * 0.95)
+        if event.get_done:
             self.finish(get)
         elif get.id in self.gets:
             if event.result in ("shed", "lacking", "unreached", "unsent") and get.may_have_run == (
@@ -813,7 +813,7 @@
                 get.miss_level = 2 if forward.only_if_cached else 1
                 origin_admits = (
                     self.origin
-                    and self.allows(self.origin)
+                    and self.breaker_allows(self.origin)
                     and get.admission_draw * self.origin_overload() < 1
                 )
                 no_fill = not self.link_admits(get) or (forward.only_if_cached and not origin_admits)
@@ -823,13 +823,13 @@
                     self.dispatch(get)
             else:
                 same_cache = event.result == "broken" and get.attempts == 1  # retry once at the same cache
-                suspect = source if event.result == "shed" and event.took > LOCAL_REFUSAL_TIME else cache
+                suspect = source if event.result == "shed" and event.duration > LOCAL_REFUSAL_TIME else cache
                 if event.result != "recalled" and not same_cache:
                     get.avoided.add(blamed or suspect)
                 # the broken forward's work was dropped, so its retry adds no load
                 self.retry_budget += same_cache
                 # every path leads to the same origin: while it is overloaded, retry only an admitted part
-                admitted = event.note != 10 or get.admission_draw * self.origin_overload() < 1
+                admitted = event.fill_code != 10 or get.admission_draw * self.origin_overload() < 1
                 if not get.pending and self.retry_budget >= 1 and admitted:
                     self.retry_budget -= 1  # the retry budget prevents retry storms
                     self.enqueue(get, None)  # queued behind first forwards
@@ -844,19 +844,19 @@
         source, service, via_origin = (
             forward.source,
             forward.get.service,
-            event.note in (3, 10) or len(forward.nodes) > 2,
+            event.fill_code in (3, 10) or len(forward.nodes) > 2,
         )
         if event.result == "returned" and not filled:
             forward.cost[1] = 0.0  # a hit put no load on the source and says nothing about it
             if self.hierarchy:
                 self.hierarchy.unspent(forward.cache.name, source.name, forward.budget)
-        late = event.took > service.config.objective + service.config.stretch * (
+        late = event.duration > service.config.objective + service.config.objective_per_transfer * (
             forward.get.transfer_time or service.mean_transfer
         )
         supplier = self.origin if via_origin and self.origin else source
         # without first-byte times, a late fill (even a recalled one) reduces a parent's share of objects, but
         # never opens its breaker
-        slow_weight = 0.75 if late and self.config.notes != "all" and supplier.role == "parent" else 0.0
+        slow_weight = 0.75 if late and self.config.fill_codes != "all" and supplier.role == "parent" else 0.0
         if filled:
             if "link" not in event.load:
                 # the estimate is steady at one late fill in ten; without sizes, large objects look late
@@ -896,7 +896,7 @@
         if (origin := self.origin) and (origin is blamed or origin is supplier):
             # the limit reacts to an origin that works but is late in more than one fill of ten; a dead one is
             # left to the breaker
-            if filled and not late and (origin.out + 1 >= 0.8 * origin.limit or event.note == 3):
+            if filled and not late and (origin.in_flight + 1 >= 0.8 * origin.limit or event.fill_code == 3):
                 origin.limit = min(
                     64.0, origin.limit + max(2 / origin.limit, origin.limit / 50 / self.config.gateways)
                 )
@@ -905,17 +905,17 @@
 
     def update_estimates(self, get: Get, cache: Node, event: i.ForwardEnded) -> None:
         """Updates the service's time estimates and the cache's concurrency limit from a returned forward."""
-        service, overhead = get.service, event.took - get.transfer_time
+        service, overhead = get.service, event.duration - get.transfer_time
         # the two step sizes converge to the 95th percentile
         service.usual_overhead = max(
             10 * MS, service.usual_overhead * (1.019 if overhead > service.usual_overhead else 0.999)
         )
         # with unknown sizes, the mean transfer time is estimated from forwards other than fills (code 2)
-        if not get.transfer_time and event.note != 2:
-            service.mean_transfer += 0.02 * (event.took - service.mean_transfer)
+        if not get.transfer_time and event.fill_code != 2:
+            service.mean_transfer += 0.02 * (event.duration - service.mean_transfer)
         # only hits, or results without a fill code, adjust the limit of the cache
-        if get.transfer_time and event.note in (0, 1):
-            if event.took > service.config.objective + service.config.stretch * get.transfer_time:
+        if get.transfer_time and event.fill_code in (0, 1):
+            if event.duration > service.config.objective + service.config.objective_per_transfer * get.transfer_time:
                 cache.limit = max(3.0, cache.limit * 0.9)
             elif self.load(cache) >= 0.7:
                 cache.limit += 16 / cache.limit
@@ -930,10 +930,10 @@
         if blamed is None and all(n.breaker.state == "Closed" for n in (forward.cache, forward.source)):
             return heappush(self.timers, (self.now + self.overdue_after(get), get.id, forward.attempt))
         may_hedge = (
-            len(get.pending) == 1 and self.retry_budget >= 1 and get.service.config.effect == "idempotent"
+            len(get.pending) == 1 and self.retry_budget >= 1 and get.service.config.idempotency == "idempotent"
         )
         cache = self.pick_cache(get) if may_hedge and self.may_forward(get) else None
-        if cache is not None and self.config.cancel and "Open" in (n.breaker.state for n in forward.nodes):
+        if cache is not None and self.config.allows_recall and "Open" in (n.breaker.state for n in forward.nodes):
             # hung fills must not use up a healthy cache's capacity
             self.actions.append(i.Recall(get.id, forward.attempt))
         elif cache is not None and not self.blocking_node(get, cache):
@@ -947,7 +947,7 @@
         # short enough that a repeat can still meet the objective
         retry_after = (
             min(get.service.config.objective // 5, self.config.max_retry_after)
-            if self.config.retry_after
+            if self.config.allows_retry_after
             else 0
         )
         self.actions.append(i.Shed(get.id, retry_after) if self.may_shed(get) else i.Errored(get.id))
@@ -961,7 +961,7 @@
     def recall(self, get: Get, excepted: int) -> None:
         """Recalls (cancels) all pending forwards of the GET except one."""
         self.actions += [
-            i.Recall(get.id, attempt) for attempt in get.pending if self.config.cancel and attempt != excepted
+            i.Recall(get.id, attempt) for attempt in get.pending if self.config.allows_recall and attempt != excepted
         ]
 
     def run_timers(self) -> None:
@@ -970,7 +970,7 @@
             _, get_id, kind = heappop(self.timers)
             get = self.gets.get(get_id)
             if kind == RESUBSCRIBE:
-                self.actions.append(i.AskForList())
+                self.actions.append(i.SubscribeToList())
             elif get and (
                 kind == DEADLINE
                 or (kind == QUEUE_TIMEOUT and 0 <= get.queued_at <= self.now - get.service.max_queue_time)
@@ -979,11 +979,11 @@
             elif get and (forward := get.pending.get(kind)):
                 self.check_overdue(get, forward)
         if self.now - self.swept_at >= S // 10:
-            self.swept_at, settled_before = self.now, self.now - self.config.purge_settles
+            self.swept_at, settled_before = self.now, self.now - self.config.purge_settle_time
             self.purges = {key: when for key, when in self.purges.items() if when > settled_before}
             self.dispatch_queue(sweep=True)
         if self.timers:
-            when = min(self.timers[0][0], self.now + S // 10) if self.line else self.timers[0][0]
+            when = min(self.timers[0][0], self.now + S // 10) if self.queue else self.timers[0][0]
             if self.wake_at <= self.now or when < self.wake_at:
                 self.wake_at = when
                 self.actions.append(i.Wake(max(1, when - self.now)))
--- a/damsonstream/virtual/fleet.py
+++ b/damsonstream/virtual/fleet.py
@@ -151,7 +151,7 @@
             return self.at(gateway.stalled_until, lambda: self.poll_agent(gateway, agent))
         out, verdicts = agent.due(self.now + gateway.clock_offset)
         for verdict in verdicts:
-            self.apply_verdict(gateway, verdict.source, verdict.what)
+            self.apply_verdict(gateway, verdict.node, verdict.verdict)
         for receiver, data in out:
             self.send(gateway, receiver, data)
         self.after(TURN, lambda: self.poll_agent(gateway, agent))
@@ -171,7 +171,7 @@
             gateway.undelivered.append((sender, data))
             return
         for verdict in agent.heard(self.now + gateway.clock_offset, sender, data):
-            self.apply_verdict(gateway, verdict.source, verdict.what)
+            self.apply_verdict(gateway, verdict.node, verdict.verdict)
 
     def apply_verdict(self, gateway: Gateway, source: int, verdict: str) -> None:
         """Changes a breaker by a verdict of the fleet, as the router does."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,23 +23,23 @@
 
 S = 10_000  # ticks of the router's clock per second
 TILES = i.DeliveryService("tiles", 6000, 2.0, 60000, 2.0, 0.15, "idempotent", "all", 0, False, 0, 0, False)
-PAGES = replace(TILES, name="pages", objective=2500, viewer_timeout=25000, revenue=1.0, fresh=8 * S)
-ORDER = replace(TILES, name="order", effect="tokened", remembered=3 * S, passes=True, viewer_timeout=30000)
-NON_IDEMPOTENT = replace(ORDER, name="firm", effect="non-idempotent")
-FOOTPRINT = i.Footprint(
+PAGES = replace(TILES, name="pages", objective=2500, viewer_timeout=25000, revenue=1.0, max_age=8 * S)
+ORDER = replace(TILES, name="order", idempotency="tokened", token_lifetime=3 * S, uncacheable=True, viewer_timeout=30000)
+NON_IDEMPOTENT = replace(ORDER, name="firm", idempotency="non-idempotent")
+FOOTPRINT = i.Deployment(
     services=(TILES, PAGES, ORDER, NON_IDEMPOTENT), location="shop", gateways=4, location_gateways=1,
-    models=("box", "parent", "origin"), parent_model="parent", origin_model="origin", weights="rough",
-    ask_for_list=False, ask_within=10 * S, client_kb_per_s=2000.0, notes="hit", joins=True, direct=False,
-    tick=20, cancel=True, second_copies=True, retry_after=True, max_forwards=6, max_retry_after=5000,
-    cold_share=0.2, cold_for=18 * S, cold_multiple=2.5, cold_span=S, parent_cold_share=0.06,
-    parent_cold_for=22 * S, parent_cold_multiple=2.0, purge_settles=6 * S,
+    models=("box", "parent", "origin"), parent_model="parent", origin_model="origin", capacity_info="rough",
+    must_subscribe=False, resubscribe_within=10 * S, client_kb_per_s=2000.0, fill_codes="hit", collapses_fills=True, allows_direct=False,
+    timer_tick=20, allows_recall=True, allows_hedges=True, allows_retry_after=True, max_forwards=6, max_retry_after=5000,
+    cold_share=0.2, cold_duration=18 * S, cold_multiple=2.5, cold_overload_span=S, parent_cold_share=0.06,
+    parent_cold_duration=22 * S, parent_cold_multiple=2.0, purge_settle_time=6 * S,
 )  # fmt: skip
 ROLES = {"c": ("shop", "box"), "p": ("hub", "parent"), "o": ("hub", "origin")}
 
 
-def entry(name: str, state: str = "active", since: int = 0, cell: int = 0, units: float = 10) -> i.Entry:
+def entry(name: str, state: str = "active", since: int = 0, cell: int = 0, units: float = 10) -> i.ListEntry:
     location, model = ROLES[name[0]]
-    return i.Entry(name, location, state, units, cell, model, since)
+    return i.ListEntry(name, location, state, units, cell, model, since)
 
 
 class Desk:
@@ -53,7 +53,7 @@
         self.sent: dict[tuple[int, int], i.Forward] = {}
         self.legs: dict[int, int] = {}
         self.tell(i.Started(7, replace(FOOTPRINT, **changes)))
-        self.tell(i.ListTold("cached", tuple(entry(name) for name in nodes.split())))
+        self.tell(i.ListUpdate("cached", tuple(entry(name) for name in nodes.split())))
 
     def say(self, text: str) -> None:
         self.lines.append(f"{self.now / 10:.1f} {text}")
@@ -66,21 +66,21 @@
                 case i.Forward(get=get):
                     leg = self.legs.get(get, 0)
                     self.legs[get], self.sent[get, leg] = leg + 1, action
-                    extra = " copies-only" * action.copies + f" age<={action.age / 10:.1f}" * (
-                        action.age > 0
+                    extra = " copies-only" * action.only_if_cached + f" age<={action.max_age / 10:.1f}" * (
+                        action.max_age > 0
                     )
                     self.say(f"  GET {get} leg {leg} -> {action.cache} fill {action.source}{extra}")
                 case i.Wake():
                     pass
                 case i.Shed(get=get):
-                    self.say(f"  GET {get} shed, come back after {action.come_back / 10:.0f}")
+                    self.say(f"  GET {get} shed, come back after {action.retry_after / 10:.0f}")
                 case i.Errored(get=get):
                     self.say(f"  GET {get} errored")
                 case i.Recall(get=get):
-                    self.say(f"  GET {get} leg {action.leg} recalled")
+                    self.say(f"  GET {get} leg {action.attempt} recalled")
                 case i.Trace():
                     self.say(f"  {action.text}")
-                case i.AskForList():
+                case i.SubscribeToList():
                     self.say("  asks for the list")
         return actions
 
@@ -88,7 +88,7 @@
         """Passes a new GET with `left` ticks to the router; by default it has the viewer timeout."""
         left = left or FOOTPRINT.services[service].viewer_timeout
         self.say(f"GET {get} {FOOTPRINT.services[service].name} {thing or f'/o/{get}'}")
-        self.tell(i.GetTaken(get, left, service, thing or f"/o/{get}", group, 0.0, False))
+        self.tell(i.GetReceived(get, left, service, thing or f"/o/{get}", group, 0.0, False))
 
     def end(
         self, get: int, result: str, note: int = 0, leg: int = -1, took: int = 500, **load: float
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -32,7 +32,7 @@
 from damsonstream.transport.caches import CacheConnections, Connection
 from tests.helpers import FOOTPRINT, S, StandIn, TraceCase, entry, get_records, list_frame
 
-ResultCallback = Callable[[life.Ending], None]
+ResultCallback = Callable[[life.ForwardEnd], None]
 
 
 @dataclass
@@ -53,8 +53,8 @@
         self.now, self.lines = 1000 * S, list[str]()
         clock = Clock(lambda: self.now * 100_000, lambda: self.now * 100_000)
         self.gateway = Gateway(7, FOOTPRINT, clock)
-        self.gateway.tell(i.ListTold("full", tuple(entry(name) for name in ["c1", "c2", "p1", "p2", "o"])))
-        self.lives = life.Lives(self.gateway, self.send)
+        self.gateway.handle_event(i.ListUpdate("full", tuple(entry(name) for name in ["c1", "c2", "p1", "p2", "o"])))
+        self.lives = life.GetTasks(self.gateway, self.send)
         self.callbacks: list[ResultCallback] = []
 
     def send(self, cache: str, ident: bytes, command: bytes, on_result: ResultCallback) -> FakeForward:
@@ -67,17 +67,17 @@
         forward_fields = resp.forward_fields(b"tiles", b"7f", b"0", b"", b"")
         get = life.Get(ident.encode(), service, "7f", 1, 2000, False, forward_fields, b"")
         self.lines.append(f"GET {ident} {FOOTPRINT.services[service].name}")
-        self.lives.begin(get, lambda final: self.lines.append(f"  {ident} {self.describe(final)}"))
+        self.lives.start(get, lambda final: self.lines.append(f"  {ident} {self.describe(final)}"))
         return get
 
-    def describe(self, final: life.Final) -> str:
-        return f"{final.outcome} {final.body!r} same={final.same} retry after {final.come_back_ms} ms"
+    def describe(self, final: life.FinalAnswer) -> str:
+        return f"{final.outcome} {final.body!r} same={final.not_modified} retry after {final.retry_after_ms} ms"
 
     async def settle(self) -> None:
         for _ in range(8):
             await anyio.sleep(0)
 
-    async def end_forward(self, index: int, result: life.Ending) -> None:
+    async def end_forward(self, index: int, result: life.ForwardEnd) -> None:
         self.now += 300
         description = f"Lost(result={result.result!r})"
         if isinstance(result, resp.Answer):
@@ -89,7 +89,7 @@
     async def wait(self, ms: int) -> None:
         for _ in range(ms // 50):
             self.now += 500
-            self.gateway.tell(i.Woken())
+            self.gateway.handle_event(i.Woken())
             await self.settle()
         self.lines.append(f"after {ms} ms")
 
@@ -106,9 +106,9 @@
                 await scenario(harness)
                 await harness.settle()
                 router = harness.gateway.router
-                leftovers = (harness.gateway.inboxes, router.gets, router.outs, router.line)
+                leftovers = (harness.gateway.inboxes, router.gets, router.pending, router.queue)
                 self.assertFalse(any(leftovers), "state of a finished GET is left")
-                self.assertFalse(sum(node.out for node in router.nodes.values()))
+                self.assertFalse(sum(node.in_flight for node in router.nodes.values()))
                 group.cancel_scope.cancel()
             self.check(name, harness.lines)
 
@@ -162,7 +162,7 @@
                 else:
                     get.left()
                 harness.now += 500
-                harness.gateway.tell(i.Woken())
+                harness.gateway.handle_event(i.Woken())
                 harness.lines.append("second copy decided")
                 await harness.settle()
 
@@ -194,7 +194,7 @@
             harness.get("purged")
             await harness.settle()
             harness.lines.append("purge of its group")
-            harness.gateway.told(bulletin.PurgeTold("", 1, harness.now // 10 - 40))
+            harness.gateway.apply_bulletin(bulletin.PurgeTold("", 1, harness.now // 10 - 40))
             await harness.end_forward(0, resp.Answer(b"", "shed", 6, 3))
             await harness.end_forward(-1, harness.returned(note=2))
 
@@ -485,7 +485,7 @@
         await fixture.stopped.wait()
         counts = server.counters.counts
         lines += [f"{name} {counts[name]}" for name in sorted(counts) if not name.startswith("cache.")]
-        self.assertFalse(server.gateway.inboxes or server.listener.open_count or server.gateway.router.outs)
+        self.assertFalse(server.gateway.inboxes or server.listener.open_count or server.gateway.router.pending)
         self.check("loopback", [re.sub(r"ms=\d+", "ms=..", line) for line in lines])
 
 
@@ -496,7 +496,7 @@
         """A connection is established late; one of the forwards queued for it has been canceled by then."""
         ended = list[str]()
 
-        def on_result(result: life.Ending) -> None:
+        def on_result(result: life.ForwardEnd) -> None:
             ended.append(result.result)
 
         async def run() -> None:
@@ -548,7 +548,7 @@
             address = f"127.0.0.1:{listener.extra(SocketAttribute.local_port)}"
 
             def log_result(name: str) -> ResultCallback:
-                def on_result(result: life.Ending) -> None:
+                def on_result(result: life.ForwardEnd) -> None:
                     shared = " shared" * (isinstance(result, resp.Lost) and result.shared)
                     lines.append(f"  {name} {result.result}{shared}")
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -502,7 +502,7 @@
     def desk(self, cold: float = 0.2) -> tuple[Desk, FixedFleet]:
         desk, asked = Desk("c1 c2 p1 p2 o"), FixedFleet()
         desk.tell(i.Started(7, replace(FOOTPRINT, cold_share=cold), asked))
-        desk.tell(i.ListTold("full", tuple(entry(name) for name in ["c1", "c2", "p1", "p2", "o"])))
+        desk.tell(i.ListUpdate("full", tuple(entry(name) for name in ["c1", "c2", "p1", "p2", "o"])))
         return desk, asked
 
     def test_verdicts_of_peers_change_breakers(self) -> None:
@@ -510,13 +510,13 @@
         node = desk.router.nodes["p1"]
         for what, state in (("good", "Closed"), ("dead", "Open"), ("bad", "Open"), ("good", "Half-Open"),
                             ("well", "Closed"), ("bad", "Closed")):  # fmt: skip
-            desk.tell(i.PeersTold(node.known, what))
+            desk.tell(i.PeerVerdict(node.peer_id, what))
             self.assertEqual((what, node.breaker.state), (what, state))
 
     def test_verdicts_do_not_open_the_last_closed_source(self) -> None:
         desk, _ = self.desk()
         for name in ("p1", "p2", "o"):
-            desk.tell(i.PeersTold(desk.router.nodes[name].known, "dead"))
+            desk.tell(i.PeerVerdict(desk.router.nodes[name].peer_id, "dead"))
         self.assertEqual(desk.router.nodes["o"].breaker.state, "Closed")
 
     def test_its_part_limits_forwards_to_a_cold_cache(self) -> None:
@@ -524,12 +524,12 @@
         for part in (0.05, 0.8):
             desk, asked = self.desk(0.9)
             asked.share = part
-            desk.tell(i.ListTold("full", tuple(entry(n, since=desk.now) for n in ("c1", "c2")) +
+            desk.tell(i.ListUpdate("full", tuple(entry(n, since=desk.now) for n in ("c1", "c2")) +
                                  tuple(entry(n) for n in ("p1", "p2", "o"))))  # fmt: skip
             count = 0
             for number in range(300):
                 desk.now += S // 50
-                result = desk.tell(i.GetTaken(number, 2 * S, 1, f"t{number}", 0, 400.0, False))
+                result = desk.tell(i.GetReceived(number, 2 * S, 1, f"t{number}", 0, 400.0, False))
                 count += sum(isinstance(action, i.Forward) for action in result)
             sent.append(count)
         self.assertLess(2 * sent[0], sent[1])
@@ -540,9 +540,9 @@
         breaker.open(desk.now)
         desk.now = desk.router.now = desk.now + 10 * S
         asked.turns = False
-        self.assertFalse(desk.router.allows(desk.router.nodes["p1"]))
+        self.assertFalse(desk.router.breaker_allows(desk.router.nodes["p1"]))
         asked.turns = True
-        self.assertTrue(desk.router.allows(desk.router.nodes["p1"]))
+        self.assertTrue(desk.router.breaker_allows(desk.router.nodes["p1"]))
 
 
 class FixedFleet:
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -87,7 +87,7 @@
 
     def test_slow_origin_opens_no_parent(self) -> None:
         """A parent that fills other objects is not blamed for fills that time out; the origin is."""
-        desk = Desk(notes="all", joins=False)
+        desk = Desk(fill_codes="all", collapses_fills=False)
         for get in range(40):
             desk.take(get, service=1)
             if get % 2:
@@ -102,7 +102,7 @@
 
     def test_hung_parent_does_not_use_up_the_caches(self) -> None:
         """Fills that hang in every cache open their parent, and are recalled and sent to the other one."""
-        desk = Desk(notes="all", joins=False)
+        desk = Desk(fill_codes="all", collapses_fills=False)
         for get in range(60):
             desk.take(get)
             for known in list(desk.router.gets):
@@ -132,7 +132,7 @@
             desk = Desk(location_gateways=12)
             for get in range(40):
                 desk.take(get)
-                while (get, desk.legs.get(get, 0) - 1) in desk.router.outs:
+                while (get, desk.legs.get(get, 0) - 1) in desk.router.pending:
                     forward = desk.sent[get, desk.legs[get] - 1]
                     lookup_only = took > 20 and forward.source == forward.cache
                     desk.end(get, "lacking" if lookup_only else "shed", took=took)
@@ -181,7 +181,7 @@
     def test_reported_load_counts_until_it_is_old(self) -> None:
         """A report includes the load of other gateways; it must not keep a cache unused for good."""
         for name, load, weights in (("held", 40.0, "none"), ("busy", 1.1, "rough")):
-            desk = Desk("c1 o", location_gateways=12, weights=weights)
+            desk = Desk("c1 o", location_gateways=12, capacity_info=weights)
             for get in range(3):
                 desk.take(get)
             for get in range(3):
@@ -208,7 +208,7 @@
         desk = Desk("c1 c2 c3 p1 p2 p3 o", location_gateways=12)
         for get in range(10):
             desk.take(get)
-            while get in desk.router.gets and (get, desk.legs[get] - 1) in desk.router.outs:
+            while get in desk.router.gets and (get, desk.legs[get] - 1) in desk.router.pending:
                 desk.end(get, "shed", took=300)
         self.assertLess(sum(desk.legs.values()), 15)
 
@@ -217,12 +217,12 @@
         lines = list[str]()
         for units in (10, 400):
             desk = Desk("c1 c2")
-            desk.tell(i.ListTold("changes", (entry("p1", units=units), entry("c3", units=400))))
+            desk.tell(i.ListUpdate("changes", (entry("p1", units=units), entry("c3", units=400))))
             for get in range(100):
                 desk.take(get)
             fills = sum(forward.source == "p1" for forward in desk.sent.values())
             lines.append(f"parent of {units} units: {fills} fills out")
-        desk = Desk("c1 p1 o", notes="all")
+        desk = Desk("c1 p1 o", fill_codes="all")
         for get in range(600):
             desk.take(get)
             desk.end(get, "returned", note=3, took=500 + 30 * S * (get % 20 == 0))
@@ -235,7 +235,7 @@
         """After a start under load, all first bytes exceed a percentile that started low: not a failure."""
         lines = list[str]()
         for wait in (0, 4 * S):
-            desk = Desk("c1 p1 o", notes="all")
+            desk = Desk("c1 p1 o", fill_codes="all")
             for get in range(24):
                 desk.now += wait if get == 12 else 50
                 desk.take(get)
@@ -251,14 +251,14 @@
         """One of 200 gateways sees two fills a second from the origin, so that first bytes above the
         objective must throttle its fills at once. Copies at parents and tokened GETs continue, and all
         GETs do once the origin has recovered."""
-        desk, lines = Desk(notes="all", joins=False, gateways=200), list[str]()
+        desk, lines = Desk(fill_codes="all", collapses_fills=False, gateways=200), list[str]()
         for get in range(48):
             slow, legs = 12 <= get < 28, list[str]()
             desk.take(get, service=2 if get % 8 == 7 else 0)
             while get in desk.router.gets:
                 forward = desk.sent[get, desk.legs[get] - 1]
-                legs.append("copies" if forward.copies else "origin")
-                if forward.copies:
+                legs.append("copies" if forward.only_if_cached else "origin")
+                if forward.only_if_cached:
                     desk.end(get, "lacking", note=8)
                 else:
                     desk.end(get, "returned", note=3, took=9000, first=8000 if slow else 1500)
@@ -269,7 +269,7 @@
 
     def test_refusals_of_an_overloaded_origin_are_not_retried(self) -> None:
         """Every parent leads to the same origin; retries of 200 gateways would overload it even more."""
-        desk = Desk("c1 c2 c3 p1 p2 p3 o", notes="all", joins=False, gateways=200)
+        desk = Desk("c1 c2 c3 p1 p2 p3 o", fill_codes="all", collapses_fills=False, gateways=200)
         desk.router.retry_budget = 20.0  # the budget must not be what limits the retries
         for get in range(10):
             desk.take(get, service=2)
@@ -280,8 +280,8 @@
 
     def test_queued_gets_wait_for_the_saturated_node(self) -> None:
         """A long queue is not dispatched while its source is full, and is as soon as that has capacity."""
-        desk = Desk("p1 o", notes="all")
-        desk.tell(i.ListTold("changes", (entry("c1", units=400),)))
+        desk = Desk("p1 o", fill_codes="all")
+        desk.tell(i.ListUpdate("changes", (entry("c1", units=400),)))
         for get in range(68):
             desk.take(get)
             if get >= 64:  # the parent has 64 forwards in flight: looked up, a miss, queued
@@ -298,10 +298,10 @@
         desk, returned = Desk("c1 c2 p1 p2 p3 o"), 0
         for get in range(200):
             desk.take(get)
-            while (get, desk.legs.get(get, 0) - 1) in desk.router.outs:
+            while (get, desk.legs.get(get, 0) - 1) in desk.router.pending:
                 forward, cached = desk.sent[get, desk.legs[get] - 1], get % 2
-                returned += cached and forward.copies
-                lookup_only = forward.source == forward.cache or (forward.copies and not cached)
+                returned += cached and forward.only_if_cached
+                lookup_only = forward.source == forward.cache or (forward.only_if_cached and not cached)
                 result = "lacking" if lookup_only else "returned" if cached else "shed"
                 desk.end(get, result, note=2 * cached, took=300)
             desk.wait(300)
@@ -316,7 +316,7 @@
         spans = list[float]()
         for place, desk in enumerate(desks):
             desk.router.rng.state = place * 0x9E3779B97F4A7C15
-            desk.tell(i.ListTold("changes", (entry("p1", since=desk.now),)))
+            desk.tell(i.ListUpdate("changes", (entry("p1", since=desk.now),)))
         for second in range(20):
             asked = 0.0
             for place, desk in enumerate(desks):
@@ -332,7 +332,7 @@
     def test_healthy_origin_is_not_opened_by_a_loaded_cache(self) -> None:
         """Fills hang at a loaded cache while others return through the same parent and origin."""
         for origin_fills in (True, False):
-            desk = Desk("c1 p1 p2 o", notes="all", gateways=1)
+            desk = Desk("c1 p1 p2 o", fill_codes="all", gateways=1)
             for get in range(200):
                 desk.take(get, service=1)
                 if (get, 0) in desk.sent and get % 3 and get not in range(120, 140):
@@ -359,7 +359,7 @@
 
     def test_hung_forwards_of_one_connection_are_counted_separately(self) -> None:
         """A known limitation: the router cannot see that the forwards share a connection."""
-        desk = Desk("c1 p1 o", joins=False)
+        desk = Desk("c1 p1 o", collapses_fills=False)
         for get in range(8):
             desk.take(get)
         desk.wait(12 * S // 10)
@@ -375,7 +375,7 @@
             desk.now += 2
             desk.end(get, "returned", 1, busy=1.0)
             lines.append(
-                f"{cache.out} in flight, reported {cache.reported_load:.0f}, "
+                f"{cache.in_flight} in flight, reported {cache.reported_load:.0f}, "
                 f"load {desk.router.load(cache):.2f}"
             )
         self.check("told-together", lines)
@@ -398,24 +398,24 @@
         for number in range(1, 50):
             desk.take(number, thing=f"/o/{number}")
             new, old = f"c{number}", f"c{number - 1}"
-            desk.tell(i.ListTold("changes", (entry(new), entry(old, "leaving"))))
-            desk.tell(i.ListTold("changes", (entry(old, "left"),)))
+            desk.tell(i.ListUpdate("changes", (entry(new), entry(old, "leaving"))))
+            desk.tell(i.ListUpdate("changes", (entry(old, "left"),)))
             self.assertEqual(set(desk.router.nodes), {old, new, "p1", "o"})
             desk.end(number, "returned", note=2)
-        desk.tell(i.ListTold("full", (entry("p1"), entry("o"))))
+        desk.tell(i.ListUpdate("full", (entry("p1"), entry("o"))))
         self.assertEqual(set(desk.router.nodes), {"p1", "o"})
 
     def test_unusual_lists(self) -> None:
         """Hundreds of entries, an old list after a restart, an id that returns, an empty list."""
         desk = Desk(location_gateways=12, gateways=300)
         many = tuple(replace(entry("c9"), cache=f"x{place}") for place in range(400))
-        desk.tell(i.ListTold("full", (*many, entry("c1"), entry("p1"), entry("o"))))
+        desk.tell(i.ListUpdate("full", (*many, entry("c1"), entry("p1"), entry("o"))))
         desk.take(1)
-        desk.tell(i.ListTold("full", ()))
+        desk.tell(i.ListUpdate("full", ()))
         desk.take(2)
         self.assertNotIn(2, desk.legs)
-        desk.tell(i.ListTold("changes", (entry("c1", since=desk.now), entry("p1", "left"), entry("p2"))))
-        desk.tell(i.ListTold("cached", (entry("c1"), entry("c2"), entry("p1"), entry("o"))))
+        desk.tell(i.ListUpdate("changes", (entry("c1", since=desk.now), entry("p1", "left"), entry("p2"))))
+        desk.tell(i.ListUpdate("cached", (entry("c1"), entry("c2"), entry("p1"), entry("o"))))
         desk.take(3)
         self.assertIn(desk.sent[3, 0].cache, {"c1", "c2"})
         self.assertIn(desk.sent[3, 0].source, {"p1", "o", desk.sent[3, 0].cache})
@@ -423,7 +423,7 @@
 
 class Guarantees(TraceCase):
     def test_final_answer_before_the_viewer_timeout(self) -> None:
-        desk = Desk(cancel=False)
+        desk = Desk(allows_recall=False)
         desk.take(1, left=3000)
         desk.wait(2979)
         self.assertIn(1, desk.router.gets)
@@ -451,16 +451,16 @@
         self.check("effects", desk.lines)
 
     def test_tokened_get_stays_in_its_cell(self) -> None:
-        order = replace(ORDER, scope="cell")
+        order = replace(ORDER, token_scope="cell")
         desk = Desk(services=(TILES, PAGES, order, order))
-        desk.tell(i.ListTold("changes", (entry("c1", cell=1), entry("c2", cell=2))))
+        desk.tell(i.ListUpdate("changes", (entry("c1", cell=1), entry("c2", cell=2))))
         for get in range(6):
             desk.take(get, service=2)
             desk.end(get, "broken")
         self.check("cells", desk.lines)
 
     def test_no_hedge_where_none_is_allowed(self) -> None:
-        desk = Desk(second_copies=False)
+        desk = Desk(allows_hedges=False)
         for get in range(8):
             desk.take(get, thing="/o/same")
         desk.wait(2 * S)
@@ -468,19 +468,19 @@
 
     def test_leaving_and_removed_nodes_are_not_used(self) -> None:
         desk = Desk()
-        desk.tell(i.ListTold("changes", (entry("c1", "leaving"), entry("p1", "left"))))
+        desk.tell(i.ListUpdate("changes", (entry("c1", "leaving"), entry("p1", "left"))))
         for get in range(8):
             desk.take(get)
         used = {name for forward in desk.sent.values() for name in (forward.cache, forward.source)}
         self.assertEqual(used, {"c2", "p2"})
-        desk.tell(i.ListTold("full", (entry("c1"), entry("o"))))
+        desk.tell(i.ListUpdate("full", (entry("c1"), entry("o"))))
         desk.take(9)
         self.assertEqual((desk.sent[9, 0].cache, desk.sent[9, 0].source), ("c1", "o"))
 
     def test_cold_budget(self) -> None:
         """A cache and a parent that have just started get few objects, and more as they warm up."""
         desk, lines = Desk("c1 c2 c3 p1 p2 o"), list[str]()
-        desk.tell(i.ListTold("changes", (entry("c1", since=desk.now), entry("p1", since=desk.now))))
+        desk.tell(i.ListUpdate("changes", (entry("c1", since=desk.now), entry("p1", since=desk.now))))
         for second in range(0, 24, 4):
             shares = {"c1": 0, "p1": 0}
             for get in range(second * 100, second * 100 + 100):
@@ -509,7 +509,7 @@
     def test_saturated_caches(self) -> None:
         """GETs are queued, first forwards before retries; one that waits too long is shed at once."""
         desk = Desk("c1 c2 p1 o")
-        desk.tell(i.ListTold("changes", (entry("c1", units=1), entry("c2", units=1))))
+        desk.tell(i.ListUpdate("changes", (entry("c1", units=1), entry("c2", units=1))))
         for get in range(14):
             desk.take(get, service=get % 2)
         for get in range(5):
@@ -518,8 +518,8 @@
         self.check("full-house", desk.lines)
 
     def test_list_that_must_be_subscribed_to(self) -> None:
-        desk = Desk(ask_for_list=True)
-        desk.tell(i.ListTold("lost", ()))
+        desk = Desk(must_subscribe=True)
+        desk.tell(i.ListUpdate("lost", ()))
         desk.wait(5 * S)
         self.check("asking", desk.lines)
 
@@ -572,4 +572,4 @@
         parts = codec.split_line(WIRE.splitlines()[1])[1]
         started = codec.decode_event("ENLIST", parts, (), {})
         assert isinstance(started, i.Started)
-        self.assertEqual((started.footprint.parent_model, started.footprint.origin_model), ("", "origin"))
+        self.assertEqual((started.deployment.parent_model, started.deployment.origin_model), ("", "origin"))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -247,11 +247,11 @@
 
 class RouterIntegration(TraceCase):
     def desk(self, service: Service | None) -> Desk:
-        desk = Desk("c1 p1 p2 p3 o", joins=False)
+        desk = Desk("c1 p1 p2 p3 o", collapses_fills=False)
         desk.lines.clear()
         desk.router, desk.sent, desk.legs = type(desk.router)(), {}, {}
-        desk.tell(i.Started(7, replace(FOOTPRINT, joins=False), tiers=service))
-        desk.tell(i.ListTold("cached", tuple(entry(name) for name in ("c1", "p1", "p2", "p3", "o"))))
+        desk.tell(i.Started(7, replace(FOOTPRINT, collapses_fills=False), hierarchy=service))
+        desk.tell(i.ListUpdate("cached", tuple(entry(name) for name in ("c1", "p1", "p2", "p3", "o"))))
         return desk
 
     def test_fills_stay_in_their_zone_and_spill_under_the_limit(self) -> None:
