--- a/damsonstream/bench/__main__.py
+++ b/damsonstream/bench/__main__.py
@@ -8,7 +8,7 @@
 from typing import TextIO
 
 from damsonstream.bench import codec
-from damsonstream.program.config import US
+from damsonstream.program.config import UNIT_US
 from damsonstream.routing import interface
 from damsonstream.routing.router import Router
 
@@ -36,7 +36,7 @@
         if name == "BEGIN_BATCH":
             if in_batch:
                 raise codec.ProtocolError("BEGIN_BATCH inside a batch")
-            now, frame, in_batch, reply = int(parts["ts"]) // US, parts["frame"], True, []
+            now, frame, in_batch, reply = int(parts["ts"]) // UNIT_US, parts["frame"], True, []
             continue
         if not in_batch:
             raise codec.ProtocolError(f"line outside a batch: {line[:60]!r}")
--- a/damsonstream/bench/codec.py
+++ b/damsonstream/bench/codec.py
@@ -7,7 +7,7 @@
 
 import json
 
-from damsonstream.program.config import US, footprint, tenths
+from damsonstream.program.config import UNIT_US, parse_footprint, to_tenths
 from damsonstream.routing import interface as i
 
 # names of the values in a cache's load report
@@ -56,7 +56,7 @@
         capacity=float(parts.get("units", 1)),
         cell=int(parts.get("cluster", 0)),
         model=parts.get("model", ""),
-        started_at=tenths(parts.get("since", 0)),
+        started_at=to_tenths(parts.get("since", 0)),
     )
 
 
@@ -70,13 +70,13 @@
     if name == "ENLIST":
         settings = json.loads(parts["params"])
         services.update({lane["name"]: index for index, lane in enumerate(settings["lanes"])})
-        return i.Started(int(parts["nonce64"]), footprint(settings))
+        return i.Started(int(parts["nonce64"]), parse_footprint(settings))
     if name == "DIRECTORY_UPDATE":
         return i.ListUpdate(LIST_KINDS[parts["kind"]], entries)
     if name == "ACCEPT":
         return i.GetReceived(
             get=int(parts["xid"]),
-            time_left=tenths(parts["left"]),
+            time_left=to_tenths(parts["left"]),
             service=services[parts["tierClass"]],
             object_id=parts.get("contentId", ""),
             group=int(float(parts.get("labelNo", -1))),
@@ -87,7 +87,7 @@
         return i.Purged(
             parts.get("contentId", ""),
             int(float(parts.get("familyId", -1))),
-            -(-int(parts.get("oldness", 0)) // US),
+            -(-int(parts.get("oldness", 0)) // UNIT_US),
         )
     if name == "GONE":
         return i.ClientLeft(int(parts["xid"]))
@@ -102,8 +102,8 @@
             attempt=int(parts.get("leg", 0)),
             cache=parts.get("cache", ""),
             result=RESULTS[parts["code"]],
-            duration=tenths(parts.get("delaySeen", 0)),
-            first_byte=tenths(parts.get("firstByte", 0)),
+            duration=to_tenths(parts.get("delaySeen", 0)),
+            first_byte=to_tenths(parts.get("firstByte", 0)),
             fill_code=int(parts.get("remark", 0)),
             get_done=parts.get("over", "0") == "1",
             load={LOAD_KEYS[key]: float(value) for key, value in load.items() if key in LOAD_KEYS},
@@ -119,16 +119,16 @@
             opts = (1 if a.collapse else 0) + (2 if a.only_if_cached else 0) + (8 if a.refresh else 0)
             return (
                 f"LOOK_AND_FILL {head} xid={a.get} holdRank={a.retention_rank} fillFrom={a.source} "
-                f"patience={a.timeout * US} oldness={a.max_age * US} cache={a.cache} opts={opts}"
+                f"patience={a.timeout * UNIT_US} oldness={a.max_age * UNIT_US} cache={a.cache} opts={opts}"
             )
         case i.Recall():
             return f"RECALL {head} xid={a.get} leg={a.attempt}"
         case i.Shed():
-            return f"BUSY {head} xid={a.get} retryIn={a.retry_after * US}"
+            return f"BUSY {head} xid={a.get} retryIn={a.retry_after * UNIT_US}"
         case i.Errored():
             return f"GIVE_UP {head} xid={a.get}"
         case i.Wake():
-            return f"DEFER {head} offset={a.after * US} ref=due"
+            return f"DEFER {head} offset={a.after * UNIT_US} ref=due"
         case i.SubscribeToList():
             return f"SUBSCRIBE {head} active=1"
         case i.Trace():
--- a/damsonstream/emulator/nodes.py
+++ b/damsonstream/emulator/nodes.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from damsonstream.emulator.engine import MS, Engine, Process, S, Semaphore, Signal, Task
-from damsonstream.protocol.resp import NOTE
+from damsonstream.protocol.resp import NOTE_CODES
 from damsonstream.routing import interface as i
 from damsonstream.standins import servers
 from damsonstream.standins.faults import Condition, Plan
@@ -232,7 +232,7 @@
 
 
 def note_code(note: str) -> int:
-    return NOTE[note.encode()]
+    return NOTE_CODES[note.encode()]
 
 
 @dataclass(slots=True, frozen=True)
--- a/damsonstream/program/commands/experiment.py
+++ b/damsonstream/program/commands/experiment.py
@@ -15,7 +15,7 @@
 from damsonstream.peers.pieces import PIECES
 from damsonstream.program import toollogs
 from damsonstream.program.commands.playing import print_result, run_or_exit, scripts
-from damsonstream.program.config import footprint
+from damsonstream.program.config import parse_footprint
 from damsonstream.settings import kdl
 from damsonstream.together import checks, script, verdict
 
@@ -26,7 +26,7 @@
 def play(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
     """Simulates one cell of an experiment; called in worker processes."""
     policy = experiment.policy(cell.policy)
-    simulation = Play(experiment.script, footprint, frozenset(policy.without), cell.seed, shops=cell.shops,
+    simulation = Play(experiment.script, parse_footprint, frozenset(policy.without), cell.seed, shops=cell.shops,
                       router=baselines.maker(policy.router, cell.seed))  # fmt: skip
     observed = simulation.run()
     figures = [checks.CHECKS[one.check.name](one.check, observed) for one in experiment.measures]
@@ -187,7 +187,7 @@
     toollogs.begin("warning")
     try:
         loaded = script.load(file)
-        simulation = Play(loaded, footprint, frozenset(without), seed, shops=shops)
+        simulation = Play(loaded, parse_footprint, frozenset(without), seed, shops=shops)
     except (kdl.Fault, Unfit) as fault:
         click.echo(fault, err=True)
         return 2
@@ -220,7 +220,7 @@
         return 2
 
     def returned(one: script.Script, without: frozenset[str]) -> float:
-        observed = Play(one, footprint, without, seed).run()
+        observed = Play(one, parse_footprint, without, seed).run()
         return checks.CHECKS["returned"](checks.Check("returned", "", 0.0, one.lasts), observed)
 
     alone = frozenset(PIECES) - {"zones"}
--- a/damsonstream/program/config.py
+++ b/damsonstream/program/config.py
@@ -16,7 +16,7 @@
 from damsonstream.protocol import bulletin
 from damsonstream.routing import interface as i
 
-US = 100  # microseconds in the router's unit of time, a tenth of a millisecond
+UNIT_US = 100  # microseconds in the router's unit of time, a tenth of a millisecond
 EFFECT_BY_NAME = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "non-idempotent"}
 
 
@@ -53,9 +53,9 @@
     message_price: float = 0.0  # cost of one full-size message per GET, as a share of the revenue
 
 
-def tenths(value: Any) -> int:
+def to_tenths(value: Any) -> int:
     """Converts microseconds to tenths of a millisecond."""
-    return int(value) // US
+    return int(value) // UNIT_US
 
 
 def address(text: Any, field: str) -> tuple[str, int]:
@@ -103,14 +103,14 @@
             memory_mb=memory,
             last=last,
             known=tuple(known),
-            footprint=footprint(document["settings"]),
+            footprint=parse_footprint(document["settings"]),
             locations=tuple(document["settings"].get("zones", ())),
             connect_timeout=int(limits.get("connectTimeout", 250_000)) / 1e6,
             idle=int(limits.get("connIdle", 15_000_000)) / 1e6,
             streams=int(limits.get("maxStreams", 1)),
             most_open=int(limits.get("maxOpen", 1000)),
-            drain_grace=tenths(document["settings"].get("rules", {}).get("stopSendingWithin", 0)),
-            purge_grace=tenths(document["settings"].get("familyInfo", {}).get("noticeTime", 0)),
+            drain_grace=to_tenths(document["settings"].get("rules", {}).get("stopSendingWithin", 0)),
+            purge_grace=to_tenths(document["settings"].get("familyInfo", {}).get("noticeTime", 0)),
             location=str(document["settings"].get("myZone", "")),
             **peer_fields(document),
         )
@@ -143,7 +143,7 @@
     return [name for name in names if getattr(running, name) != getattr(loaded, name)]
 
 
-def footprint(settings: dict[str, Any]) -> i.Deployment:
+def parse_footprint(settings: dict[str, Any]) -> i.Deployment:
     """Converts the `settings` section to the router's view of the system: its services, limits and rules."""
     family = settings.get("familyInfo", {})
     limits = settings.get("limits", {})
@@ -163,17 +163,17 @@
     services = tuple(
         i.DeliveryService(
             name=service["name"],
-            objective=tenths(service["onTime"]),
+            objective=to_tenths(service["onTime"]),
             objective_per_transfer=float(service.get("aimStretch", 0)),
-            viewer_timeout=tenths(service["hardLimit"]),
+            viewer_timeout=to_tenths(service["hardLimit"]),
             revenue=float(service.get("worth", 1)),
             late_share=float(service.get("lateShare", 0)),
             idempotency=EFFECT_BY_NAME[service["idempotency"]],
             token_scope=service.get("keyScope", "all"),
-            token_lifetime=tenths(service.get("dedupWindow", 0)),
+            token_lifetime=to_tenths(service.get("dedupWindow", 0)),
             streamed=bool(service.get("streaming", False)),
-            max_age=tenths(per_service("maxAge", index)),
-            stale_grace=tenths(per_service("usableAfter", index)),
+            max_age=to_tenths(per_service("maxAge", index)),
+            stale_grace=to_tenths(per_service("usableAfter", index)),
             uncacheable=bool(per_service("passOn", index)),
         )
         for index, service in enumerate(settings["lanes"])
@@ -194,23 +194,23 @@
         origin_model=model("masterKind"),
         capacity_info=settings.get("weights", "none"),
         must_subscribe=settings.get("membershipMode") == "subscribe",
-        resubscribe_within=tenths(rules.get("askWithin", 0)),
+        resubscribe_within=to_tenths(rules.get("askWithin", 0)),
         client_kb_per_s=float(family.get("clientKbPerS", 0)),
         fill_codes=family.get("says", "none"),
         collapses_fills=bool(family.get("joins", True)),
         allows_direct=bool(family.get("passThroughOk", False)),
-        timer_tick=max(1, tenths(settings.get("tick", 0))),
+        timer_tick=max(1, to_tenths(settings.get("tick", 0))),
         allows_recall=bool(limits.get("cancel", False)),
         allows_hedges=bool(limits.get("secondCopies", False)),
         allows_retry_after=bool(limits.get("retryAfter", False)),
         max_forwards=int(limits.get("maxAttempts", 1)),
-        max_retry_after=tenths(limits.get("maxRetryAfter", 0)),
+        max_retry_after=to_tenths(limits.get("maxRetryAfter", 0)),
         cold_share=float(rules.get("startCapacity", 1)),
-        cold_duration=tenths(rules.get("warmWithin", 0)),
+        cold_duration=to_tenths(rules.get("warmWithin", 0)),
         cold_multiple=float(rules.get("fallMultiple", 1)),
-        cold_overload_span=tenths(rules.get("tipAfter", 0)),
+        cold_overload_span=to_tenths(rules.get("tipAfter", 0)),
         parent_cold_share=float(family.get("parentStartsAt", 1)),
-        parent_cold_duration=tenths(family.get("upperCold", 0)),
+        parent_cold_duration=to_tenths(family.get("upperCold", 0)),
         parent_cold_multiple=float(family.get("parentBreaksAt", 1)),
-        purge_settle_time=tenths(family.get("purgeSettles", 0)),
+        purge_settle_time=to_tenths(family.get("purgeSettles", 0)),
     )
--- a/damsonstream/program/logs.py
+++ b/damsonstream/program/logs.py
@@ -8,7 +8,7 @@
 STANDARD_ATTRIBUTES = set(logging.makeLogRecord({}).__dict__) | {"message", "asctime", "taskName"}
 
 
-def quoted(value: object) -> str:
+def quote_value(value: object) -> str:
     """Returns the text of a value, quoted and escaped if it contains spaces or special characters."""
     text = value.decode("latin-1") if isinstance(value, bytes) else str(value)
     if text and not any(c in ' "=\\' or not c.isprintable() for c in text):
@@ -29,7 +29,7 @@
         pairs.update((key, value) for key, value in record.__dict__.items() if key not in STANDARD_ATTRIBUTES)
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={quoted(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={quote_value(value)}" for key, value in pairs.items())
 
 
 def configure(level: str) -> None:
--- a/damsonstream/program/serve.py
+++ b/damsonstream/program/serve.py
@@ -299,7 +299,7 @@
         if self.peer_exchange is not None:
             self.peer_exchange.close()
         for connection in (*self.listener.clients, *self.cache_connections.open_connections):
-            connection.end("stopped", flush=True)
+            connection.close("stopped", flush=True)
         await anyio.sleep(0.01)  # lets each connection log its close
         if self.recorder is not None:
             self.recorder.stopped(self.gateway.clock.now(), "signal")
--- a/damsonstream/program/toollogs.py
+++ b/damsonstream/program/toollogs.py
@@ -14,14 +14,14 @@
 
 import structlog
 
-from damsonstream.program.logs import quoted
+from damsonstream.program.logs import quote_value
 
 
 def render(logger: Any, name: str, event: MutableMapping[str, Any]) -> str:
     """A structlog processor that formats an event as one line of key=value pairs."""
     pairs = {"at": f"{time.time():.3f}", "level": event.pop("level", name), "part": event.pop("part", "-"),
              "event": event.pop("event", "-"), **event}  # fmt: skip
-    return " ".join(f"{key}={quoted(value)}" for key, value in pairs.items())
+    return " ".join(f"{key}={quote_value(value)}" for key, value in pairs.items())
 
 
 def begin(level: str = "info") -> None:
--- a/damsonstream/protocol/resp.py
+++ b/damsonstream/protocol/resp.py
@@ -27,7 +27,7 @@
 # How a cache produced its answer. `Answer.note` holds the position, counted from 1; 0: not reported.
 NOTES = (b"hit", b"filled", b"via_origin", b"joined", b"stale", b"src_refused", b"src_broke", b"src_lacks",
          b"no_slot", b"origin_failed")  # fmt: skip
-NOTE = {word: place for place, word in enumerate(NOTES, 1)}
+NOTE_CODES = {word: place for place, word in enumerate(NOTES, 1)}
 # Gauges that answers report, and the names by which the router knows them. "held": open requests of the
 # cache, "busy": share of its cores, "hits": hit ratio, "link": load of the link into its location, 1 if it is
 # just full.
@@ -123,7 +123,7 @@
     if not 0 <= waited <= MAX_WAIT_MS or stamp < 0:
         raise ProtocolError("bad field: out of range")
     load = {name: value for name, value in load.items() if 0 <= value <= MAX_LOAD}  # excludes NaN
-    same, note = word == b"still_good", NOTE.get(values.get(b"res", b""), 0)
+    same, note = word == b"still_good", NOTE_CODES.get(values.get(b"res", b""), 0)
     return Answer(ident, RESULT_BY_WORD[word], note, waited, load, same, stamp, body)
 
 
--- a/damsonstream/standins/clients.py
+++ b/damsonstream/standins/clients.py
@@ -18,7 +18,7 @@
 
 from damsonstream.standins import wire
 from damsonstream.standins.traffic import Arrival, Catalogue
-from damsonstream.transport.link import Link
+from damsonstream.transport.link import TcpConnection
 
 CONNECTIONS = 4  # to each gateway
 STREAMS = 32  # open GETs on each connection
@@ -56,7 +56,7 @@
     come_back_ms: int = 0
 
 
-class GatewayLink(Link):
+class GatewayLink(TcpConnection):
     """One connection to a gateway."""
 
     def __init__(self, generator: Front, name: str) -> None:
@@ -75,12 +75,12 @@
         self.ids = iter(range(1, 1 << 16))
         return self.next_id()
 
-    def took(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         try:
             finals = self.answers.feed(data)
         except wire.ProtocolError as error:
             self.front.report_violation(f"{self.name} sent a malformed record: {error}")
-            self.end("malformed")
+            self.close("malformed")
             return
         for final in finals:
             if final.id in self.aborted:
@@ -95,7 +95,7 @@
             self.answered[final.id] = request.one
             self.front.handle_answer(request, final)
 
-    def ended(self) -> None:
+    def handle_close(self) -> None:
         self.front.parted(self)
         requests, self.open = list(self.open.values()), {}
         for request in requests:
@@ -275,4 +275,4 @@
         self.closing = True
         for connections in self.links.values():
             for connection in list(connections):
-                connection.end("stopped")
+                connection.close("stopped")
--- a/damsonstream/standins/servers.py
+++ b/damsonstream/standins/servers.py
@@ -22,7 +22,7 @@
 from damsonstream.standins import wire
 from damsonstream.standins.faults import Condition, Plan
 from damsonstream.standins.shelf import Copy, Effects, Key, Shelf
-from damsonstream.transport.link import Link
+from damsonstream.transport.link import TcpConnection
 
 LOOPBACK = "127.0.0.1"
 SETTLE = 0.2  # seconds within which a node drops purged copies
@@ -100,7 +100,7 @@
     def reset(self) -> None:
         """Resets all connections."""
         for connection in list(self.links):
-            connection.end("reset")
+            connection.close("reset")
 
     async def restart(self) -> None:
         await self.listen()
@@ -192,7 +192,7 @@
         return copy, "via_origin"
 
 
-class CacheLink(Link):
+class CacheLink(TcpConnection):
     """One gateway's connection to a node."""
 
     def __init__(self, node: Node) -> None:
@@ -206,18 +206,18 @@
         self.peer_address = transport.get_extra_info("peername")
         self.node.links.add(self)
 
-    def ended(self) -> None:
+    def handle_close(self) -> None:
         self.node.links.discard(self)
         for scope in list(self.open_gets.values()):
             scope.cancel()
 
-    def took(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         try:
             for command in self.commands.feed(data):
                 self.obey(command)
         except wire.ProtocolError as error:
             self.node.world.report_violation(f"{self.node.name} received a malformed command: {error}")
-            self.end("malformed")
+            self.close("malformed")
 
     def obey(self, command: wire.Command) -> None:
         if command.word == "HELO":
@@ -227,7 +227,7 @@
                 scope.cancel()
         elif command.ident in self.open_gets:
             self.node.world.report_violation(f"{self.node.name} received the id of an open GET")
-            self.end("malformed")
+            self.close("malformed")
         else:
             group = self.node.world.group
             if group is not None:
@@ -384,7 +384,7 @@
                     connection.send_heartbeat()
 
 
-class DiscoveryConnection(Link):
+class DiscoveryConnection(TcpConnection):
     """One gateway's discovery watch; `last_sent` is -1 until the gateway has named its last event."""
 
     def __init__(self, discovery: DiscoveryServer) -> None:
@@ -395,10 +395,10 @@
         super().connection_made(transport)
         self.discovery.links.add(self)
 
-    def ended(self) -> None:
+    def handle_close(self) -> None:
         self.discovery.links.discard(self)
 
-    def took(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         if self.last_sent < 0:
             self.received += data
             if len(self.received) >= 8:
@@ -559,4 +559,4 @@
             if server.server is not None:
                 server.server.close()
             for connection in list(server.links):
-                connection.end("stopped")
+                connection.close("stopped")
--- a/damsonstream/transport/caches.py
+++ b/damsonstream/transport/caches.py
@@ -19,7 +19,7 @@
 from anyio.abc import TaskGroup
 
 from damsonstream.protocol import bulletin, resp
-from damsonstream.transport.link import Link
+from damsonstream.transport.link import TcpConnection
 
 log = logging.getLogger(__name__)
 # A connection on which no byte arrives for this long in the middle of an answer is closed: an answer that
@@ -54,7 +54,7 @@
             self.connection.cancel_forward(self)
 
 
-class Connection(Link):
+class Connection(TcpConnection):
     """One connection to a cache, shared by up to `max_streams` pending forwards."""
 
     def __init__(self, pool: Pool, owner: CacheConnections) -> None:
@@ -73,7 +73,7 @@
         """Returns whether a forward with this identifier may be sent on this connection."""
         accepts = not self.reason and not self.retire_reason and len(self.pending) < self.owner.max_streams
         # the limit on unsent bytes excludes a cache that does not read
-        accepts = accepts and not self.unresponsive and self.waiting < MAX_UNSENT_BYTES
+        accepts = accepts and not self.unresponsive and self.unsent_bytes < MAX_UNSENT_BYTES
         return accepts and ident not in self.pending and ident not in self.finished
 
     @property
@@ -104,7 +104,7 @@
         if len(self.finished) > MAX_FINISHED_IDENTS:
             self.finished.popitem(last=False)
 
-    def took(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         for answer in self.decoder.feed(data):
             forward = self.pending.pop(answer.ident, None)
             if forward is None:  # canceled before, a duplicate, or an unknown identifier: ignored
@@ -115,10 +115,10 @@
                 forward.on_result(answer)
         if self.decoder.error:
             log.warning("malformed", extra={"cache": self.pool.cache, "what": self.decoder.error})
-            self.end("malformed")
+            self.close("malformed")
         self.last_used, self.awaiting_since = time.monotonic(), 0.0
 
-    def ended(self) -> None:
+    def handle_close(self) -> None:
         """Reports all pending forwards as lost. Also called if the connection was never established; the
         forwards are then `unreached`, as none was executed."""
         if self.closed.is_set():
@@ -196,7 +196,7 @@
         for connection in list(pool.connections):
             connection.retire_reason = reason
             if reason == "restarted" or not connection.pending:
-                connection.end(reason)
+                connection.close(reason)
 
     def send(
         self, cache: str, ident: bytes, command: bytes, on_result: Callable[[ForwardResult], None]
@@ -228,7 +228,7 @@
         idle_connections = [c for c in self.open_connections if not c.pending and not c.reason]
         if not idle_connections:
             return False
-        min(idle_connections, key=lambda c: c.last_used).end("room")
+        min(idle_connections, key=lambda c: c.last_used).close("room")
         return True
 
     def remove(self, connection: Connection) -> None:
@@ -247,9 +247,9 @@
                         connection.decoder.incomplete
                         and connection.last_used < now - PARTIAL_ANSWER_TIMEOUT_S
                     ):
-                        connection.end("stalled")
+                        connection.close("stalled")
                     elif not connection.pending and connection.unresponsive:
-                        connection.end("quiet")
+                        connection.close("quiet")
                     elif not connection.pending:
                         timeout = (
                             self.idle_timeout
@@ -257,7 +257,7 @@
                             else min(self.idle_timeout, PASSIVE_IDLE_TIMEOUT_S)
                         )
                         if connection.retire_reason or connection.last_used < now - timeout:
-                            connection.end(connection.retire_reason or "idle")
+                            connection.close(connection.retire_reason or "idle")
 
     async def run_connection(self, connection: Connection) -> None:
         """Opens one connection and waits until it is closed."""
@@ -274,6 +274,6 @@
             connection.reason = connection.reason or "fault"
         if connection.transport is None:
             connection.reason = connection.reason or "stopped"
-            connection.ended()
+            connection.handle_close()
         else:
             await connection.closed.wait()
--- a/damsonstream/transport/front.py
+++ b/damsonstream/transport/front.py
@@ -17,7 +17,7 @@
 import anyio
 
 from damsonstream.protocol import fastcgi
-from damsonstream.transport.link import Link
+from damsonstream.transport.link import TcpConnection
 
 log = logging.getLogger(__name__)
 # Connections with more unsent data count against the memory limit. It is more than one object.
@@ -48,7 +48,7 @@
 NO_OPEN_GET = NoOpenGet()
 
 
-class Client(Link):
+class Client(TcpConnection):
     """One client's connection."""
 
     def __init__(self, listener: ClientListener) -> None:
@@ -67,7 +67,7 @@
         self.listener.add(self)
         super().connection_made(transport)
 
-    def took(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         was_complete = self.gets > 0 and not self.decoder.incomplete  # the state before this data
         if was_complete:
             self.incomplete_since = time.monotonic()
@@ -84,7 +84,7 @@
                     case fastcgi.ManagementReply(data=reply):
                         self.send(reply)
         except fastcgi.ProtocolError as error:
-            self.end(str(error))
+            self.close(str(error))
 
     def handle_get(self, get: fastcgi.Request) -> None:
         """Passes a received GET to the opener, with a function that sends its answer."""
@@ -99,8 +99,8 @@
             self.last_used = time.monotonic()
             self.send(data)
             if self.close_after_answers and not self.open_gets:
-                self.end("asked", flush=True)
-            elif self.waiting > SLOW_CLIENT_BYTES:
+                self.close("asked", flush=True)
+            elif self.unsent_bytes > SLOW_CLIENT_BYTES:
                 self.listener.limit_buffers()
 
         self.open_gets[get.id] = NO_OPEN_GET
@@ -108,7 +108,7 @@
         if open_get is not None:
             self.open_gets[get.id] = open_get
 
-    def ended(self) -> None:
+    def handle_close(self) -> None:
         open_gets, self.open_gets = self.open_gets, {}
         for open_get in open_gets.values():
             open_get.left()
@@ -143,15 +143,15 @@
     @property
     def open_count(self) -> int:
         """The number of GETs without an answer plus that of connections with unsent data."""
-        return sum(len(client.open_gets) + (client.waiting > 0) for client in self.clients)
+        return sum(len(client.open_gets) + (client.unsent_bytes > 0) for client in self.clients)
 
     def add(self, client: Client) -> None:
         """Registers a connection. At the limit an idle one is closed for it: first those that never sent a
         GET, then the one idle longest. If none is idle, the new connection is refused."""
         if len(self.clients) >= self.max_clients:
-            idle = [c for c in self.clients if not c.open_gets and not c.waiting and not c.reason]
+            idle = [c for c in self.clients if not c.open_gets and not c.unsent_bytes and not c.reason]
             if idle:
-                min(idle, key=lambda c: (c.gets > 0, c.last_used)).end("room")
+                min(idle, key=lambda c: (c.gets > 0, c.last_used)).close("room")
             else:
                 client.reason = "full"
         self.clients[client] = None
@@ -163,9 +163,9 @@
             deadline = time.monotonic() - REQUEST_TIMEOUT_S
             for client in [c for c in self.clients if c.incomplete_since < deadline and not c.reason]:
                 if not client.gets:
-                    client.end("silent")
+                    client.close("silent")
                 elif client.decoder.incomplete:
-                    client.end("half")
+                    client.close("half")
 
     def remove(self, client: Client) -> None:
         self.clients.pop(client, None)
@@ -174,12 +174,12 @@
     def limit_buffers(self) -> None:
         """Closes the connections with the most unsent data until the total is within the memory limit."""
         slow_clients = sorted(
-            (c for c in self.clients if c.waiting > SLOW_CLIENT_BYTES and not c.reason),
-            key=lambda c: -c.waiting,
+            (c for c in self.clients if c.unsent_bytes > SLOW_CLIENT_BYTES and not c.reason),
+            key=lambda c: -c.unsent_bytes,
         )
-        total_bytes = sum(client.waiting for client in slow_clients)
+        total_bytes = sum(client.unsent_bytes for client in slow_clients)
         for client in slow_clients:
             if total_bytes <= self.max_buffered_bytes:
                 break
-            total_bytes -= client.waiting
-            client.end("slow")
+            total_bytes -= client.unsent_bytes
+            client.close("slow")
--- a/damsonstream/transport/link.py
+++ b/damsonstream/transport/link.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 
-class Link(asyncio.Protocol):
+class TcpConnection(asyncio.Protocol):
     """One TCP connection. Data sent before it is established is queued."""
 
     def __init__(self) -> None:
@@ -24,10 +24,10 @@
         self.last_used = time.monotonic()
         self.queue: list[bytes] = []  # data sent before it is established; the sender limits its size
 
-    def took(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         raise NotImplementedError
 
-    def ended(self) -> None:
+    def handle_close(self) -> None:
         """Called once, after the connection is closed."""
         raise NotImplementedError
 
@@ -45,18 +45,18 @@
         if self.reason:
             return
         try:
-            self.took(data)
+            self.handle_data(data)
         except Exception:
             log.exception("connection")
-            self.end("fault")
+            self.close("fault")
 
     def eof_received(self) -> bool:
-        self.end("closed")
+        self.close("closed")
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
         self.reason = self.reason or ("reset" if error else "closed")
-        self.ended()
+        self.handle_close()
 
     def send(self, data: bytes) -> None:
         if self.transport is None:
@@ -65,11 +65,11 @@
             self.transport.write(data)
 
     @property
-    def waiting(self) -> int:
+    def unsent_bytes(self) -> int:
         """The number of bytes in the send buffer, not yet passed to the kernel."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
-    def end(self, reason: str, flush: bool = False) -> None:
+    def close(self, reason: str, flush: bool = False) -> None:
         """Closes the connection; with `flush` the send buffer is written first. Only the first call
         counts."""
         if self.reason:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,7 +14,7 @@
 from damsonstream.emulator.engine import Engine, Process, S, Semaphore, Signal
 from damsonstream.emulator.play import Play, Unfit
 from damsonstream.program.commands import experiment as command
-from damsonstream.program.config import footprint
+from damsonstream.program.config import parse_footprint
 from damsonstream.settings import kdl
 from damsonstream.together import script, verdict
 from damsonstream.together.checks import CHECKS
@@ -59,7 +59,7 @@
     """Returns for how many of three seeds a script keeps its bounds; `case`: script, feature switched off."""
     loaded, off = script.load(str(SCRIPTS / f"{case[0]}.kdl")), frozenset({case[1]} - {""})
     return sum(
-        verdict.result(loaded, off, Play(loaded, footprint, off, seed).run(), 0.0).verdict == "kept"
+        verdict.result(loaded, off, Play(loaded, parse_footprint, off, seed).run(), 0.0).verdict == "kept"
         for seed in (2, 3, 4)
     )
 
@@ -135,7 +135,7 @@
         loaded = script.load(str(SCRIPTS / "smoke.kdl"))
 
         def digest(seed: int) -> str:
-            emulation = Play(loaded, footprint, frozenset(), seed)
+            emulation = Play(loaded, parse_footprint, frozenset(), seed)
             emulation.run()
             return emulation.digest()
 
@@ -146,21 +146,21 @@
         """No effect runs twice and no drained node gets a forward, with the baselines too."""
         smoke = script.load(str(SCRIPTS / "smoke.kdl"))
         for name in baselines.NAMES:
-            fleet = Play(smoke, footprint, frozenset(), 3, router=baselines.maker(name, 3))
+            fleet = Play(smoke, parse_footprint, frozenset(), 3, router=baselines.maker(name, 3))
             record = fleet.run()
             self.assertEqual((name, record.faults), (name, []))
             self.assertGreater(sum(one.outcome == "returned" for one in record.tries), 500)
 
     def test_each_shop_is_a_location_of_its_own(self) -> None:
         loaded = script.load(str(SCRIPTS / "evidence.kdl"))
-        emulation = Play(loaded, footprint, frozenset(), 1, shops=6)
+        emulation = Play(loaded, parse_footprint, frozenset(), 1, shops=6)
         record = emulation.run()
         self.assertEqual((len(record.names), emulation.footprint(47).location), (48, "shop-6"))
         self.assertEqual(emulation.footprint(47).location_gateways, 8)
         caches = {one.cache.rsplit("-", 1)[0] for one in record.forwards if one.gateway == "n48"}
         self.assertEqual(caches, {"cache-6"})
         with self.assertRaises(Unfit):
-            Play(script.load(str(SCRIPTS / "zone-loss.kdl")), footprint, frozenset(), 1, shops=2)
+            Play(script.load(str(SCRIPTS / "zone-loss.kdl")), parse_footprint, frozenset(), 1, shops=2)
 
 
 class Experiments(unittest.TestCase):
@@ -266,7 +266,7 @@
             loaded = script.load(str(path))
             self.assertEqual((loaded.nodes, loaded.steps), (drawn.nodes, drawn.steps))
             self.assertEqual(set(loaded.links), set(drawn.links))
-        record = Play(drawn, footprint, frozenset(), 1).run()
+        record = Play(drawn, parse_footprint, frozenset(), 1).run()
         self.assertEqual(record.faults, [])
         self.assertTrue(all(one.at < drawn.lasts + S for one in record.tries))
 
