--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -16,9 +16,9 @@
 
 sys.path.append(".")
 from damsonstream.peers import subsets
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.virtual.fleet import Fleet
-from damsonstream.virtual.links import S, faulty
+from damsonstream.virtual.links import S, links_with_fault
 
 SEEDS = (1, 2)
 FAULTS = ("calm", "lost 30%", "lost 90%", "late 2 s", "split")
@@ -27,7 +27,7 @@
 def fleet(count: int, seed: int, fault: str, features: frozenset[str]) -> Fleet:
     rng = random.Random(seed)
     demands = [2 * rng.paretovariate(1.8) for _ in range(count)]
-    return Fleet(count, seed, demands=demands, links=faulty(fault, seed), features=features)
+    return Fleet(count, seed, demands=demands, links=links_with_fault(fault, seed), features=features)
 
 
 def simulate(count: int, seed: int, fault: str, features: frozenset[str]) -> dict[str, float]:
@@ -70,7 +70,7 @@
     rows = []
     for count in (n for n in (20, 200, 1000, 5000) if n <= chosen.most):
         for fault in FAULTS if count <= 200 else FAULTS[:2]:
-            for how, features in (("peers", frozenset(PIECES)), ("alone", frozenset[str]())):
+            for how, features in (("peers", frozenset(FEATURES)), ("alone", frozenset[str]())):
                 began = time.monotonic()
                 found = [
                     simulate(count, seed, fault, features) for seed in (SEEDS if count < 1000 else SEEDS[:1])
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -15,8 +15,8 @@
 
 sys.path.append(".")
 from damsonstream.tiers.zones import LOST, WELL
-from damsonstream.virtual.links import S, faulty
-from damsonstream.virtual.zones import HOWS, ZoneFleet
+from damsonstream.virtual.links import S, links_with_fault
+from damsonstream.virtual.zones import MODES, ZoneFleet
 
 FAULTS = ("calm", "lost 30%", "late 5 s", "split")
 MEANING = """agree: seconds from the first gateway that holds the loss until 99% hold it; spill: highest spill into a zone in
@@ -28,29 +28,29 @@
 
 def measure(count: int, zones: int, seed: int, how: str, fault: str) -> dict[str, float]:
     """Runs one fleet through the loss and returns its figures by name."""
-    fleet = ZoneFleet(count, zones, seed, how, faulty(fault, seed))
+    fleet = ZoneFleet(count, zones, seed, how, links_with_fault(fault, seed))
     fleet.until(8 * S)
-    fleet.lose("z0")
+    fleet.lose_zone("z0")
     agree = whole = 99.0
     first = -1.0
     for tenth in range(1, 101):
         fleet.until(8 * S + tenth * S // 10)
-        held = fleet.hold("z0", LOST)
+        held = fleet.fraction_in_state("z0", LOST)
         first = tenth / 10 if first < 0 and held > 0 else first
         if agree == 99.0 and held >= 0.99:
             agree = tenth / 10 - first
-    fleet.back("z0")
+    fleet.restore_zone("z0")
     for tenth in range(1, 321):
         fleet.until(18 * S + tenth * S // 10)
-        if whole == 99.0 and fleet.hold("z0", WELL) == 1.0:
+        if whole == 99.0 and fleet.fraction_in_state("z0", WELL) == 1.0:
             whole = tenth / 10
-    own = [f for f in fleet.fills_seen if f.home == "z0"]
+    own = [f for f in fleet.fills if f.home == "z0"]
     before = sum(1 for f in own if f.to == "z0" and 3 * S <= f.at < 8 * S) / 5
     cold = max(sum(1 for f in own if f.to == "z0" and (18 + n) * S <= f.at < (19 + n) * S) for n in range(4))
     return {
-        "agree": agree, "spill": fleet.worst_spill(), "near": fleet.near_share(2 * S, 8 * S),
-        "nowhere": fleet.lost_share(10 * S, 18 * S), "cold": cold / max(1.0, before), "whole": whole,
-        "changes": float(fleet.changes()),
+        "agree": agree, "spill": fleet.max_spill_ratio(), "near": fleet.own_zone_fraction(2 * S, 8 * S),
+        "nowhere": fleet.unserved_fraction(10 * S, 18 * S), "cold": cold / max(1.0, before), "whole": whole,
+        "changes": float(fleet.max_changes()),
     }  # fmt: skip
 
 
@@ -69,7 +69,7 @@
         for fault in FAULTS if count <= 200 else FAULTS[:1]:
             if options.calm and fault != "calm":
                 continue
-            for how in HOWS if fault == "calm" else HOWS[:2]:
+            for how in MODES if fault == "calm" else MODES[:2]:
                 began = time.monotonic()
                 runs = [measure(count, zones, seed, how, fault) for seed in ((1, 2) if count < 200 else (1,))]
                 mean = {name: sum(run[name] for run in runs) / len(runs) for name in NAMES}
@@ -93,7 +93,7 @@
                                   "fills at cold hubs, over the usual rate",
                                   "share of fills without a source"),
                                  strict=True):  # fmt: skip
-        for shift, how in enumerate(HOWS):
+        for shift, how in enumerate(MODES):
             heights = [row[4][name] for row in calm if row[3] == how]
             axes.bar([n + 0.2 * (shift - 1.5) for n in range(len(labels))], heights, 0.2, label=how)
         axes.set_xticks(range(len(labels)), labels, fontsize=7)
--- a/damsonstream/emulator/gateway.py
+++ b/damsonstream/emulator/gateway.py
@@ -18,7 +18,7 @@
 
 from damsonstream.emulator.engine import MS, S, Task
 from damsonstream.emulator.nodes import START_UNIX, Answer, Command, Node, Purge
-from damsonstream.peers.council import TURN, Council, source_id
+from damsonstream.peers.council import GOSSIP_INTERVAL, PeerAgent, source_id
 from damsonstream.peers.pieces import ZONES
 from damsonstream.routing import interface as i
 from damsonstream.settings import kdl
@@ -93,7 +93,7 @@
         footprint = emulation.footprint(self.index)
         location = emulation.world.locations.index(footprint.location)
         incarnation = (1000 * S + self.engine.now) // (S // 10)
-        self.coordinator = Council(
+        self.coordinator = PeerAgent(
             self.name, self.index, footprint.gateways, location, footprint.location_gateways, incarnation,
             emulation.message_price, emulation.seed * 1009 + self.index, self.now(), emulation.features,
         )  # fmt: skip
@@ -110,7 +110,7 @@
             if not isinstance(update, Purge):
                 entries |= {entry.cache: entry for entry in update}
         self.apply_list("full", tuple(entries.values()))
-        for func, interval in ((self.exchange_with_peers, TURN), (self.update_hierarchy, UPDATE_INTERVAL)):
+        for func, interval in ((self.exchange_with_peers, GOSSIP_INTERVAL), (self.update_hierarchy, UPDATE_INTERVAL)):
             self.repeat(self.emulation.rng.randrange(interval), interval, func)
         self.schedule(STARTUP_TIME if self.incarnation > 1 else 0, self.become_ready)
 
@@ -159,13 +159,13 @@
     # peer exchange, hierarchy, list of caches
 
     def exchange_with_peers(self) -> None:
-        datagrams, events = self.coordinator.due(self.now())
+        datagrams, events = self.coordinator.poll(self.now())
         for index, data in datagrams:
             self.emulation.send_datagram(self, index, data)
         self.handle_peer_events(events)
 
     def receive_datagram(self, sender: int, data: bytes) -> None:
-        self.handle_peer_events(self.coordinator.heard(self.now(), sender, data))
+        self.handle_peer_events(self.coordinator.receive(self.now(), sender, data))
 
     def handle_peer_events(self, events: list[i.PeerVerdict]) -> None:
         for event in events:
@@ -378,7 +378,7 @@
         if node in self.connections:
             timeout = (
                 IDLE
-                if self.coordinator.keeps(source_id(self.emulation.world.nodes[node].uid))
+                if self.coordinator.watches(source_id(self.emulation.world.nodes[node].uid))
                 else SHORT_IDLE
             )
             if now > self.connections[node][1] + timeout:
--- a/damsonstream/emulator/play.py
+++ b/damsonstream/emulator/play.py
@@ -25,9 +25,9 @@
 from damsonstream.emulator.nodes import MODELS, Node, World
 from damsonstream.emulator.viewers import Viewers
 from damsonstream.peers import wire
-from damsonstream.peers.council import digest as zone_digest
+from damsonstream.peers.council import hash_zone as zone_digest
 from damsonstream.peers.council import source_id
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.routing.interface import Deployment
 from damsonstream.routing.router import Router
 from damsonstream.standins import clients, servers
@@ -61,7 +61,7 @@
         if shops > 1 and script.zones:
             raise Unfit("a script with zones defines its own gateways, so shops must be 1")
         self.script, self.seed, self.shops = script, seed, shops
-        self.features = frozenset(PIECES) - without
+        self.features = frozenset(FEATURES) - without
         self.rng, self.message_price = random.Random(seed), figures.PRICE
         self.make_router: Callable[[int], EventHandler] = router or (lambda index: Router())
         self.engine = Engine()
@@ -123,7 +123,7 @@
     def send_datagram(self, sender: Gateway, index: int, data: bytes) -> None:
         now, rng, receiver = self.engine.now / S, self.datagram_rng, self.gateways[index]
         self.record.datagrams.append((now, sender.name, len(data)))
-        self.record.told += [(now, sender.name, item) for item in wire.read(data).items]
+        self.record.told += [(now, sender.name, item) for item in wire.decode(data).items]
         link = self.links.between(sender.name, receiver.name, now)
         if link.cut > 0 or link.broken or rng.random() < link.drop:
             return
--- a/damsonstream/emulator/study.py
+++ b/damsonstream/emulator/study.py
@@ -18,7 +18,7 @@
 import numpy as np
 
 from damsonstream.emulator.baselines import DEFAULT_ROUTER, NAMES
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.settings import kdl
 from damsonstream.together import script
 from damsonstream.together.checks import CHECKS, Check
@@ -141,8 +141,8 @@
         raise section.fault("must have the policy's name as its only argument")
     without, router = section.texts("without"), section.text("router", DEFAULT_ROUTER)
     for feature in without:
-        if feature not in PIECES:
-            raise section.fault(f"{feature} is not one of {', '.join(PIECES)}", "without")
+        if feature not in FEATURES:
+            raise section.fault(f"{feature} is not one of {', '.join(FEATURES)}", "without")
     if router not in NAMES:
         raise section.fault(f"{router} is not one of {', '.join(NAMES)}", "router")
     section.finish()
--- a/damsonstream/peers/council.py
+++ b/damsonstream/peers/council.py
@@ -23,7 +23,7 @@
 from damsonstream.peers import order, wire
 from damsonstream.peers.evidence import Evidence
 from damsonstream.peers.members import HEARTBEAT_INTERVAL, Membership
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.peers.shares import Shares
 from damsonstream.peers.spread import Gossip
 from damsonstream.peers.subsets import assign
@@ -35,7 +35,7 @@
     from damsonstream.tiers.verdicts import Verdict, Verdicts
 
 S = 10_000  # clock ticks (0.1 ms) per second
-TURN = S // 10  # between rounds of gossip; an item passes through 200 gateways in about six rounds
+GOSSIP_INTERVAL = S // 10  # between rounds of gossip; an item passes through 200 gateways in about six rounds
 # Peers that receive gossip in a round; with the repeats of peers/gossip.py all but one in a thousand get it.
 FANOUT = 2
 JOIN_FANOUT = 4  # other gateways, besides the neighbors, to which a starting gateway sends its heartbeat
@@ -47,8 +47,8 @@
 # Gateways that watch a source or cache and run its trials: two of them may be silent.
 WATCHERS = 3
 # If `poll` was not called for this long, the process stalled, and datagrams waiting in its socket are old.
-STALL_THRESHOLD = 5 * TURN
-STALL_DISCARD = 2 * TURN  # after a stall, datagrams are discarded as old for this long
+STALL_THRESHOLD = 5 * GOSSIP_INTERVAL
+STALL_DISCARD = 2 * GOSSIP_INTERVAL  # after a stall, datagrams are discarded as old for this long
 # How far a boot may be ahead of this gateway's, in tenths of a second (a day); later ones are invalid.
 MAX_BOOT_LEAD = 864_000
 
@@ -57,7 +57,7 @@
 DEAD_HUBS_FRACTION = 0.5
 
 
-def digest(name: str) -> int:
+def hash_zone(name: str) -> int:
     """Returns the 32-bit hash of a zone's name, the same on all gateways."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
@@ -67,12 +67,12 @@
     return router_digest(name) & 0xFFFFFFFF
 
 
-class Council:
+class PeerAgent:
     """The state of one gateway in the fleet."""
 
     def __init__(
         self, name: str, own_index: int, fleet_size: int, location: int, location_size: int, boot: int,
-        message_cost: float, seed: int, now: int, features: frozenset[str] = frozenset(PIECES),
+        message_cost: float, seed: int, now: int, features: frozenset[str] = frozenset(FEATURES),
     ) -> None:  # fmt: skip
         """`own_index`: in the list of peers; `fleet_size`, `location_size`: configured numbers of gateways,
         of the fleet and of this location; `location`: index of this location; `message_cost`: as for
@@ -82,8 +82,8 @@
         self.members = Membership(own_index, boot, fleet_size, now)
         self.evidence, self.trials = Evidence(own_index, fleet_size), TrialSchedule(own_index)
         static = "shares" not in features
-        self.near = Shares(own_index, location, location_size, now, static)
-        self.far = Shares(own_index, wire.ALL_LOCATIONS, fleet_size, now, static, self.near.get_times)
+        self.location_shares = Shares(own_index, location, location_size, now, static)
+        self.fleet_shares = Shares(own_index, wire.ALL_LOCATIONS, fleet_size, now, static, self.location_shares.get_times)
         self.gossip = Gossip(message_cost, now)
         self.gossip.fleet_size = fleet_size
         # by peer; limited by the list of peers
@@ -106,17 +106,17 @@
         self.sequence, self.started_at, self.polled_at, self.next_heartbeat_at, self.resumed_at = (
             0, now, now, now, -S,
         )  # fmt: skip
-        self.counted: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self.zones: Verdicts | None = None  # None: no zones are followed
         self.zone_names: dict[int, str] = {}  # by hash
         # called for each trial of this gateway: time, source, and `begun`, `good` or `bad`
-        self.on_turn: Callable[[int, int, str], None] = lambda now, source, state: None
+        self.on_trial: Callable[[int, int, str], None] = lambda now, source, state: None
 
     # calls of the router
 
     def asked(self, now: int) -> None:
         """Counts a GET."""
-        self.near.record_get(now)
+        self.location_shares.record_get(now)
 
     def saw(self, now: int, source: int, in_location: bool, failed: bool) -> None:
         """Records how a forward ended, as its breaker was notified. `in_location`: the source is of this
@@ -147,7 +147,7 @@
 
     def trying(self, now: int, source: int, in_location: bool) -> None:
         """Announces a trial that begins here."""
-        self.on_turn(now, source, "begun")
+        self.on_trial(now, source, "begun")
         if "turns" in self.features:
             message = self.trials.begin(now, source, self.audience(in_location), self.members.boot)
             if message is not None:
@@ -155,7 +155,7 @@
 
     def tried(self, now: int, source: int, in_location: bool, succeeded: bool) -> None:
         """Publishes the result of a trial that ended here."""
-        self.on_turn(now, source, "good" if succeeded else "bad")
+        self.on_trial(now, source, "good" if succeeded else "bad")
         self.opened_by_peers.discard(source)
         if succeeded:
             self.clear_source(source)
@@ -168,7 +168,7 @@
 
     def part(self, now: int, in_location: bool) -> float:
         """Returns this gateway's fraction of the caps of its location or of the fleet."""
-        return (self.near if in_location else self.far).fraction(now)
+        return (self.location_shares if in_location else self.fleet_shares).fraction(now)
 
     # groups of gateways
 
@@ -192,7 +192,7 @@
             self.assignments[in_location] = gateways, assignment
         return assignment.get(source) or order.select(gateways, source, WATCHERS)
 
-    def keeps(self, source: int) -> bool:
+    def watches(self, source: int) -> bool:
         """Returns whether this gateway watches a cache of its location, and so keeps connections to it."""
         return self.own_index in (self.watchers(source, True) or [self.own_index])
 
@@ -217,8 +217,8 @@
     def resize(self, now: int, fleet_size: int, location_size: int) -> None:
         """Sets the configured numbers of gateways."""
         self.members.resize(now, fleet_size)
-        self.near.resize(now, location_size)
-        self.far.resize(now, fleet_size)
+        self.location_shares.resize(now, location_size)
+        self.fleet_shares.resize(now, fleet_size)
         self.gossip.fleet_size = fleet_size
         self.replay_windows = {
             peer: window for peer, window in self.replay_windows.items() if peer < fleet_size
@@ -227,41 +227,41 @@
 
     # datagrams
 
-    def heard(self, now: int, sender: int, data: bytes) -> list[PeerVerdict]:
+    def receive(self, now: int, sender: int, data: bytes) -> list[PeerVerdict]:
         """Handles a datagram; returns verdicts for the router. Any input takes bounded work and is counted:
         under `heard`, or under the reason why it is dropped. `old`: it waited while this process stalled;
         `long`, `form`, `garbled`: not decodable (wire.py); `foreign`: not sent from the address of its
         sender; `twin`: two peers use one name; `repeated`: a duplicate, or of an earlier boot; `nonsense`: an
         item's boot is far in the future."""
         if self.recently_stalled(now):
-            self.counted["old"] += 1
+            self.counters["old"] += 1
             return []
         try:
-            datagram = wire.read(data)
-        except wire.Unreadable as error:
-            self.counted[str(error)] += 1
+            datagram = wire.decode(data)
+        except wire.UnreadableDatagram as error:
+            self.counters[str(error)] += 1
             return []
         if not 0 <= sender < self.members.fleet_size or datagram.sender != sender or sender == self.own_index:
-            self.counted["foreign"] += 1
+            self.counters["foreign"] += 1
             return []
         if self.index_by_name.setdefault(datagram.name, sender) != sender:
-            self.counted["twin"] += 1
+            self.counters["twin"] += 1
             return []
         if len(self.index_by_name) > 2 * self.members.fleet_size:  # names keep changing: start again
             self.index_by_name = {self.name: self.own_index}
         if not self.replay_windows.setdefault(sender, wire.ReplayWindow()).accept(
             datagram.boot, datagram.sequence
         ):
-            self.counted["repeated"] += 1
+            self.counters["repeated"] += 1
             return []
-        self.counted["heard"] += 1
+        self.counters["heard"] += 1
         self.members.datagram_received(now)
         verdicts: list[PeerVerdict] = []
         for item in datagram.items:
-            if isinstance(item, (wire.Heartbeat, wire.Doubt, wire.OutcomeReport, wire.Trial)) and (
+            if isinstance(item, (wire.Heartbeat, wire.Suspicion, wire.OutcomeReport, wire.Trial)) and (
                 item.boot > self.members.boot + MAX_BOOT_LEAD
             ):
-                self.counted["nonsense"] += 1
+                self.counters["nonsense"] += 1
                 continue
             verdicts += self.handle_item(now, sender, item)
         return verdicts
@@ -270,7 +270,7 @@
         """Handles one item; returns verdicts for the router."""
         match item:
             case wire.Heartbeat():
-                was_suspected = item.by in self.members.silences
+                was_suspected = item.by in self.members.suspected
                 is_news = self.members.receive_heartbeat(now, item, direct=item.by == sender)
                 if item.by != sender or was_suspected:  # a refuted suspicion is news for all
                     # relayed without its echo, which is for one receiver only
@@ -279,7 +279,7 @@
                         wire.Heartbeat(item.by, item.boot, item.sequence, item.location, item.demand),
                         is_news and was_suspected,
                     )
-            case wire.Doubt():
+            case wire.Suspicion():
                 sequence = self.members.sequence
                 self.gossip.receive(now, item, self.members.receive_suspicion(now, item))
                 if self.members.sequence > sequence:
@@ -293,15 +293,15 @@
                     is_news, outcome = self.trials.receive(now, item)
                     self.gossip.receive(now, item, is_news)
                     return self.apply_trial_outcome(now, item.source, outcome)
-            case wire.Zone():
+            case wire.ZoneItem():
                 if (verdict := self.zone_verdict(item)) is not None and self.zones is not None:
                     self.gossip.receive(now, item, self.zones.heard(verdict, now / S))
             case wire.LeaseRequest():
-                shares = self.near if item.scope == self.location else self.far
+                shares = self.location_shares if item.scope == self.location else self.fleet_shares
                 if (grant := shares.grant(now, sender, item)) is not None:
                     self.direct_items.append((sender, grant))
             case wire.Grant():
-                (self.near if item.scope == self.location else self.far).receive_grant(now, sender, item)
+                (self.location_shares if item.scope == self.location else self.fleet_shares).receive_grant(now, sender, item)
         return []
 
     def apply_trial_outcome(self, now: int, source: int, outcome: str) -> list[PeerVerdict]:
@@ -326,7 +326,7 @@
         if self.zones is None:
             self.zones = Verdicts.of(zones, now / S, self.members.fleet_size)
         self.zones.follow(zones, now / S)
-        self.zone_names = {digest(name): name for name in self.zones.beliefs}
+        self.zone_names = {hash_zone(name): name for name in self.zones.beliefs}
 
     def zone_saw(
         self, now: int, zone: str, failing: bool, own: bool, answered: bool, hubs: Sequence[str] = ()
@@ -336,7 +336,7 @@
         their names."""
         if self.zones is None:
             return
-        source = digest(zone)
+        source = hash_zone(zone)
         if answered or (failing and own):  # partial failure is left to the breakers of the hubs
             self.evidence.record_outcome(now, source, wire.ALL_LOCATIONS, not answered)
         return_began = self.zones.beliefs[zone].back_at * S
@@ -365,7 +365,7 @@
         state = self.zones.state(zone, now / S, self.members.isolated(now))
         return state, verdict.progress, verdict.flaps
 
-    def zone_verdict(self, item: wire.Zone) -> Verdict | None:
+    def zone_verdict(self, item: wire.ZoneItem) -> Verdict | None:
         """Returns the verdict that an item carries, None for unknown zones."""
         from damsonstream.tiers.verdicts import BY_CARE, Verdict
 
@@ -381,7 +381,7 @@
         if self.zones is None:
             return
         for verdict in self.zones.look(now / S, self.members.isolated(now)):
-            update = wire.Zone(digest(verdict.zone), verdict.epoch, verdict.step, CARE[verdict.state],
+            update = wire.ZoneItem(hash_zone(verdict.zone), verdict.epoch, verdict.step, CARE[verdict.state],
                                verdict.progress, verdict.flaps)  # fmt: skip
             self.gossip.publish(now, update)
 
@@ -389,7 +389,7 @@
         """Returns this gateway's heartbeat; `echo`: the receiver's last sequence number that came here."""
         members = self.members
         warmed_up = now - self.started_at > DEMAND_WARMUP
-        demand = min(0xFFFFFFFF, max(1, int(self.far.demand(now) * 100))) if warmed_up else 0
+        demand = min(0xFFFFFFFF, max(1, int(self.fleet_shares.demand(now) * 100))) if warmed_up else 0
         return wire.Heartbeat(self.own_index, members.boot, members.sequence, self.location, demand, echo)
 
     def recently_stalled(self, now: int) -> bool:
@@ -398,7 +398,7 @@
             self.resumed_at = now
         return now - self.resumed_at < STALL_DISCARD
 
-    def due(self, now: int) -> tuple[list[tuple[int, bytes]], list[PeerVerdict]]:
+    def poll(self, now: int) -> tuple[list[tuple[int, bytes]], list[PeerVerdict]]:
         """Called every GOSSIP_INTERVAL. Returns the datagrams to send, by peer, and verdicts for the
         router."""
         self.recently_stalled(now)
@@ -418,8 +418,8 @@
             )
             self.members.sequence += 1
             others = self.members.others.values()
-            self.far.set_peer_demands([member.demand for member in others if member.demand])
-            self.near.set_peer_demands(
+            self.fleet_shares.set_peer_demands([member.demand for member in others if member.demand])
+            self.location_shares.set_peer_demands(
                 [member.demand for member in others if member.demand and member.location == self.location]
             )
             for peer in self.heartbeat_targets(now):
@@ -472,10 +472,10 @@
         used = MAX_HEADER_BYTES + sum(wire.encoded_size(item) for item in items)
         allowed = min(
             wire.MAX_DATAGRAM_BYTES,
-            self.gossip.available_bytes(now, max(self.far.mean_demand, self.far.demand(now))) - reserve,
+            self.gossip.available_bytes(now, max(self.fleet_shares.mean_demand, self.fleet_shares.demand(now))) - reserve,
         )
         if allowed < used:
-            self.counted["held back"] += 1
+            self.counters["held back"] += 1
             return
         gossip = self.gossip.take_items(now, allowed - used, location)
         if not items and not gossip:
@@ -487,8 +487,8 @@
         data = wire.encode(wire.Datagram(wire.FORMAT_VERSION, self.name, self.own_index, self.members.boot,
                                          self.sequence, payload))  # fmt: skip
         self.gossip.spend(len(data))
-        self.counted["sent"] += 1
-        self.counted["bytes"] += len(data)
+        self.counters["sent"] += 1
+        self.counters["bytes"] += len(data)
         out.append((peer, data))
 
     def relayed_heartbeats(self, now: int, receiver: int, max_bytes: int) -> list[wire.Heartbeat]:
@@ -506,7 +506,7 @@
 
     def request_shares(self, now: int) -> None:
         """Queues requests for larger shares where this gateway's demand exceeds its share."""
-        for shares, in_location in ((self.near, True), (self.far, False)):
+        for shares, in_location in ((self.location_shares, True), (self.fleet_shares, False)):
             candidates = [
                 (peer, self.members.others[peer].demand if peer in self.members.others else -1.0)
                 for peer in self.gateways(in_location)
@@ -534,4 +534,4 @@
 
     def counts(self) -> dict[str, int | str]:
         """Returns the counters for the log, by their keys there."""
-        return {f"peers.{name.replace(' ', '_')}": count for name, count in sorted(self.counted.items())}
+        return {f"peers.{name.replace(' ', '_')}": count for name, count in sorted(self.counters.items())}
--- a/damsonstream/peers/members.py
+++ b/damsonstream/peers/members.py
@@ -78,7 +78,7 @@
         # by index, below `fleet_size`; emptied after FORGET_AFTER of silence
         self.others: dict[int, Member] = {}
         # suspected gateways, by index; emptied by a newer heartbeat, or with the member
-        self.silences: dict[int, Suspected] = {}
+        self.suspected: dict[int, Suspected] = {}
         # last_received_at: when the last datagram of any gateway came
         self.started_at = self.ticked_at = self.last_received_at = now
         # the latest own heartbeat that a neighbor confirmed, and when it did
@@ -110,7 +110,7 @@
     def forget(self, peer: int) -> None:
         """Drops all that is known of a gateway."""
         self.others.pop(peer, None)
-        self.silences.pop(peer, None)
+        self.suspected.pop(peer, None)
         self.reported.pop(peer, None)
 
     def datagram_received(self, now: int) -> None:
@@ -146,16 +146,16 @@
             known.location, known.demand = heartbeat.location, heartbeat.demand / 100
         if heartbeat.by in self.neighbors_heard_at:
             self.neighbors_heard_at[heartbeat.by] = now
-        suspected = self.silences.get(heartbeat.by)
+        suspected = self.suspected.get(heartbeat.by)
         if suspected is not None and (heartbeat.boot, heartbeat.sequence) > (
             suspected.boot,
             suspected.sequence,
         ):
-            del self.silences[heartbeat.by]
+            del self.suspected[heartbeat.by]
         self.reported.pop(heartbeat.by, None)
         return True
 
-    def receive_suspicion(self, now: int, suspicion: wire.Doubt) -> bool:
+    def receive_suspicion(self, now: int, suspicion: wire.Suspicion) -> bool:
         """Handles a suspicion; returns whether it is news. A suspicion that names this gateway makes its
         next heartbeat newer than the suspicion; the caller publishes that heartbeat at once."""
         if suspicion.of == self.own_index:
@@ -173,10 +173,10 @@
             return False
         if suspicion.by not in self.neighbors(suspicion.of):
             return False  # only neighbors exchange heartbeats with it
-        suspected = self.silences.get(suspicion.of)
+        suspected = self.suspected.get(suspicion.of)
         if suspected is None or (suspicion.boot, suspicion.sequence) > (suspected.boot, suspected.sequence):
             since = now if suspected is None else suspected.since
-            suspected = self.silences[suspicion.of] = Suspected(
+            suspected = self.suspected[suspicion.of] = Suspected(
                 suspicion.boot, suspicion.sequence, since, set()
             )
         if (suspicion.boot, suspicion.sequence) < (
@@ -187,7 +187,7 @@
         suspected.reporters.add(suspicion.by)
         return True
 
-    def tick(self, now: int) -> list[wire.Doubt]:
+    def tick(self, now: int) -> list[wire.Suspicion]:
         """Returns the suspicions to publish now. After a stall of this process, the time that it took is
         added to all deadlines, and other gateways get the whole time again to refute suspicions."""
         stalled_for, self.ticked_at = now - self.ticked_at, now
@@ -197,10 +197,10 @@
             self.neighbors_heard_at = {peer: at + stalled_for for peer, at in self.neighbors_heard_at.items()}
             for member in self.others.values():
                 member.heard_at += stalled_for
-            for suspected in self.silences.values():
+            for suspected in self.suspected.values():
                 suspected.since = now
         for peer in [
-            p for p, m in self.others.items() if now - m.heard_at > FORGET_AFTER and p in self.silences
+            p for p, m in self.others.items() if now - m.heard_at > FORGET_AFTER and p in self.suspected
         ]:
             self.forget(peer)
         if self.isolated(now):
@@ -215,19 +215,19 @@
             ):
                 continue
             self.reported[peer] = known.sequence
-            suspected = self.silences.setdefault(peer, Suspected(known.boot, known.sequence, now, set()))
+            suspected = self.suspected.setdefault(peer, Suspected(known.boot, known.sequence, now, set()))
             suspected.reporters.add(self.own_index)
-            suspicions.append(wire.Doubt(self.own_index, peer, known.boot, known.sequence))
+            suspicions.append(wire.Suspicion(self.own_index, peer, known.boot, known.sequence))
         return suspicions
 
     def isolated(self, now: int) -> bool:
         """Returns whether no datagram has come for some time."""
         return self.fleet_size > 1 and now - self.last_received_at > MISSED_HEARTBEATS * HEARTBEAT_INTERVAL
 
-    def silent(self, now: int, peer: int) -> bool:
+    def is_silent(self, now: int, peer: int) -> bool:
         """Returns whether a gateway counts as silent: suspected by enough neighbors, and not refuted in
         time."""
-        suspected = self.silences.get(peer)
+        suspected = self.suspected.get(peer)
         return (
             suspected is not None and self.confirmed(suspected) and now - suspected.since >= SUSPICION_TIMEOUT
         )
@@ -242,11 +242,11 @@
     def state(self, now: int, peer: int) -> str:
         """Returns `here`, `slow` (heartbeats come late), `gone` (silent), `apart` (silent together with a
         large part of the fleet) or `unknown` (never heard of)."""
-        if self.silent(now, peer):
-            since = self.silences[peer].since
+        if self.is_silent(now, peer):
+            since = self.suspected[peer].since
             simultaneous = sum(
                 1
-                for other, suspected in self.silences.items()
+                for other, suspected in self.suspected.items()
                 if abs(suspected.since - since) <= SPLIT_WINDOW
             )
             return "apart" if simultaneous > max(1.0, SPLIT_FRACTION * self.fleet_size) else "gone"
@@ -255,7 +255,7 @@
             return "unknown"
         return "slow" if known.gap > 2 * HEARTBEAT_INTERVAL and peer in self.neighbors_heard_at else "here"
 
-    def standing(self, now: int) -> str:
+    def own_status(self, now: int) -> str:
         """Returns the status of this gateway: `well`, `cut off` (receives nothing), `unheard` (nobody
         receives its heartbeats) or `split` (a large part of the fleet is `apart`)."""
         if self.isolated(now):
@@ -267,10 +267,10 @@
             now - heard_at < HEARTBEAT_INTERVAL * 2 for heard_at in neighbors_heard
         ):
             return "unheard"
-        if any(self.state(now, peer) == "apart" for peer in self.silences):
+        if any(self.state(now, peer) == "apart" for peer in self.suspected):
             return "split"
         return "well"
 
     def alive(self, now: int, gateways: Iterable[int]) -> list[int]:
         """Returns the gateways of the given ones that are not silent; this one always counts as alive."""
-        return [peer for peer in gateways if peer == self.own_index or not self.silent(now, peer)]
+        return [peer for peer in gateways if peer == self.own_index or not self.is_silent(now, peer)]
--- a/damsonstream/peers/pieces.py
+++ b/damsonstream/peers/pieces.py
@@ -7,4 +7,4 @@
 """
 
 ZONES = "zones"  # takes effect only where the operator's file defines a hierarchy
-PIECES = ("evidence", "turns", "shares", "subsets", "members", ZONES)
+FEATURES = ("evidence", "turns", "shares", "subsets", "members", ZONES)
--- a/damsonstream/peers/shares.py
+++ b/damsonstream/peers/shares.py
@@ -78,8 +78,8 @@
         self.provisional = self.equal_share if static else 0  # what it certainly owns until `settled_at`
         self.started_at, self.settled_at = now, now if static else now + self.max_lease_duration()
         # by borrower and lease number; emptied by time
-        self.given: dict[tuple[int, int], Lease] = {}
-        self.taken: dict[int, Lease] = {}  # by lease number; emptied by time
+        self.lent: dict[tuple[int, int], Lease] = {}
+        self.borrowed: dict[int, Lease] = {}  # by lease number; emptied by time
         self.pending: dict[int, Lease] = {}  # unanswered requests, by request number; emptied by time
         self.next_request_at = now
         # Last lease or request number. Starts from the clock, not to repeat numbers of the previous process.
@@ -144,22 +144,22 @@
 
     def expire_leases(self, now: int) -> None:
         """Drops expired leases and requests."""
-        self.given = {key: lease for key, lease in self.given.items() if lease.expires_at > now}
-        self.taken = {key: lease for key, lease in self.taken.items() if lease.expires_at > now}
+        self.lent = {key: lease for key, lease in self.lent.items() if lease.expires_at > now}
+        self.borrowed = {key: lease for key, lease in self.borrowed.items() if lease.expires_at > now}
         self.pending = {key: lease for key, lease in self.pending.items() if lease.expires_at > now}
 
     def retained(self, now: int) -> int:
         """Returns what it owns less what is lent, in millionths."""
-        return max(0, self.owned(now) - sum(lease.millionths for lease in self.given.values()))
+        return max(0, self.owned(now) - sum(lease.millionths for lease in self.lent.values()))
 
-    def millionths(self, now: int) -> int:
+    def usable_millionths(self, now: int) -> int:
         """Returns what this gateway may use now, in millionths of a cap."""
         self.expire_leases(now)
-        return self.retained(now) + sum(lease.millionths for lease in self.taken.values())
+        return self.retained(now) + sum(lease.millionths for lease in self.borrowed.values())
 
     def fraction(self, now: int) -> float:
         """Returns what this gateway may use now, as a fraction of a cap."""
-        return self.millionths(now) / CAP_MILLIONTHS
+        return self.usable_millionths(now) / CAP_MILLIONTHS
 
     def renewals_and_requests(
         self, now: int, candidates: Iterable[tuple[int, float]]
@@ -168,9 +168,9 @@
         may be asked, in order of preference, with their reported demand (negative: unknown)."""
         self.expire_leases(now)
         requests = []
-        shortfall = self.wanted(now) - self.millionths(now)
+        shortfall = self.wanted(now) - self.usable_millionths(now)
         min_lease = max(1, int(MIN_LEASE_FRACTION * self.equal_share))
-        for number, lease in self.taken.items():
+        for number, lease in self.borrowed.items():
             # a lease that is no longer needed is not renewed, and so returns to its lender
             if (
                 lease.expires_at - now <= RENEW_BEFORE_END
@@ -182,12 +182,12 @@
         if self.static or shortfall < min_lease or now < max(self.next_request_at, self.settled_at):
             return requests
         self.next_request_at = now + REQUEST_INTERVAL
-        busy = {lease.peer for lease in (*self.taken.values(), *self.pending.values())}
+        busy = {lease.peer for lease in (*self.borrowed.values(), *self.pending.values())}
         mean_demand, max_lease = self.mean_demand, self.equal_share - self.floor()
         lenders = [peer for peer, demand in candidates if peer not in busy and demand < mean_demand]
         count = min(MAX_PARALLEL_REQUESTS, max(1, 2 * shortfall // max(1, self.equal_share)))
         for peer in lenders[:count]:
-            if len(self.taken) + len(self.pending) >= MAX_LEASES:
+            if len(self.borrowed) + len(self.pending) >= MAX_LEASES:
                 break
             self.sequence += 1
             amount = max(min_lease, min(max_lease, shortfall // count))
@@ -206,17 +206,17 @@
             return None
         self.expire_leases(now)
         key = peer, request.lease
-        lease = self.given.get(key)
+        lease = self.lent.get(key)
         if lease is None:
             spare = self.retained(now) - max(self.floor(), self.wanted(now))
             amount = min(request.millionths, spare)
             if (
                 amount < max(1, int(MIN_LEASE_FRACTION * self.equal_share))
-                or len(self.given) >= MAX_LEASES
+                or len(self.lent) >= MAX_LEASES
                 or now < self.settled_at
             ):
                 return None
-            lease = self.given[key] = Lease(peer, amount, 0)
+            lease = self.lent[key] = Lease(peer, amount, 0)
         elif self.retained(now) < RENEWAL_THRESHOLD * min(self.wanted(now), self.equal_share):
             return None  # needed here: the lease is left to expire
         lease.expires_at = now + self.max_lease_duration()
@@ -230,8 +230,8 @@
             return False
         del self.pending[grant.request]
         expires_at = lease.requested_at + min(LEASE_DURATION, grant.duration)
-        known = self.taken.get(grant.lease)
+        known = self.borrowed.get(grant.lease)
         if expires_at <= now or grant.millionths > lease.millionths or (known and known.peer != peer):
             return False
-        self.taken[grant.lease] = Lease(peer, grant.millionths, expires_at, lease.requested_at)
+        self.borrowed[grant.lease] = Lease(peer, grant.millionths, expires_at, lease.requested_at)
         return True
--- a/damsonstream/peers/spread.py
+++ b/damsonstream/peers/spread.py
@@ -46,19 +46,19 @@
     match item:
         case wire.Heartbeat():
             return 0, item.by
-        case wire.Doubt():
+        case wire.Suspicion():
             return 1, item.by, item.of
         case wire.OutcomeReport():
             return 2, item.by, item.source
         case wire.Trial():
             return 3, item.by, item.source
-        case wire.Zone():
+        case wire.ZoneItem():
             return 4, item.zone
 
 
 def item_version(item: wire.GossipItem) -> tuple[int, int]:
     """Returns which of two items on the same subject is newer: the greater one."""
-    return (item.epoch, item.step) if isinstance(item, wire.Zone) else (item.boot, item.sequence)
+    return (item.epoch, item.step) if isinstance(item, wire.ZoneItem) else (item.boot, item.sequence)
 
 
 def aged(item: wire.GossipItem, held: int) -> wire.GossipItem:
--- a/damsonstream/peers/wire.py
+++ b/damsonstream/peers/wire.py
@@ -40,7 +40,7 @@
     echo: SequenceNumber = 0
 
 
-class Doubt(Struct, array_like=True, frozen=True, tag=1):
+class Suspicion(Struct, array_like=True, frozen=True, tag=1):
     """The gateway `by` suspects its neighbor `of`, from which it received no heartbeat after this one."""
 
     by: PeerIndex
@@ -93,7 +93,7 @@
     duration: Annotated[int, Meta(ge=1, le=600_000)]  # tenths of a millisecond
 
 
-class Zone(Struct, array_like=True, frozen=True, tag=6):
+class ZoneItem(Struct, array_like=True, frozen=True, tag=6):
     """The sender's verdict on a zone (tiers/verdicts.py). It names no gateway, since all hold the same."""
 
     zone: U32  # hash of the zone's name
@@ -105,7 +105,7 @@
 
 
 # Items that are relayed through the fleet.
-GossipItem = Heartbeat | Doubt | OutcomeReport | Trial | Zone
+GossipItem = Heartbeat | Suspicion | OutcomeReport | Trial | ZoneItem
 Item = GossipItem | LeaseRequest | Grant  # the last two pass between two gateways only
 ALL_LOCATIONS = 65_535
 AGE_UNIT = 1_000  # clock ticks (0.1 ms) per unit of `OutcomeReport.age`
@@ -122,7 +122,7 @@
     items: Annotated[list[Item], Meta(max_length=64)]
 
 
-class Unreadable(Exception):
+class UnreadableDatagram(Exception):
     """The datagram can't be used. The text is a reason code: `long` (over the size limit), `form` (another
     format version) or `garbled` (not decodable)."""
 
@@ -147,15 +147,15 @@
     return len(ENCODER.encode(item))
 
 
-def read(data: bytes) -> Datagram:
+def decode(data: bytes) -> Datagram:
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise Unreadable("long")
+        raise UnreadableDatagram("long")
     try:
         datagram = DECODER.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise Unreadable("garbled") from error
+        raise UnreadableDatagram("garbled") from error
     if datagram.version != FORMAT_VERSION:
-        raise Unreadable("form")
+        raise UnreadableDatagram("form")
     return datagram
 
 
--- a/damsonstream/program/commands/experiment.py
+++ b/damsonstream/program/commands/experiment.py
@@ -12,7 +12,7 @@
 
 from damsonstream.emulator import baselines, hunt, page, runs, study
 from damsonstream.emulator.play import Play, Unfit
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.program import toollogs
 from damsonstream.program.commands.playing import print_result, run_or_exit, scripts
 from damsonstream.program.config import parse_footprint
@@ -171,14 +171,14 @@
     for loaded in scripts(folder, study.load):
         click.echo(f"{loaded.name:18} {len(loaded.cells())} simulations: {loaded.about}")
     click.echo(f"routers: {', '.join(baselines.NAMES)}")
-    click.echo(f"features: {', '.join(PIECES)}")
+    click.echo(f"features: {', '.join(FEATURES)}")
     return 0
 
 
 @experiment.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option(
-    "--without", multiple=True, type=click.Choice(PIECES), help="Switch off a feature of the peer exchange."
+    "--without", multiple=True, type=click.Choice(FEATURES), help="Switch off a feature of the peer exchange."
 )
 @click.option("--seed", default=1, show_default=True, help="Seed of the random number generators.")
 @click.option("--shops", default=1, show_default=True, type=click.IntRange(1, study.MOST_SHOPS))
@@ -223,7 +223,7 @@
         observed = Play(one, parse_footprint, without, seed).run()
         return checks.CHECKS["returned"](checks.Check("returned", "", 0.0, one.lasts), observed)
 
-    alone = frozenset(PIECES) - {"zones"}
+    alone = frozenset(FEATURES) - {"zones"}
     found = run_or_exit(
         lambda: hunt.hunt(base, lambda one: returned(one, frozenset()) - returned(one, alone), budget, seed)
     )
--- a/damsonstream/program/commands/together.py
+++ b/damsonstream/program/commands/together.py
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.program import toollogs
 from damsonstream.program.commands.playing import print_result, run_or_exit, scripts
 from damsonstream.settings import kdl
@@ -29,7 +29,7 @@
 @click.option("--json", "json_file", type=click.Path(path_type=Path, dir_okay=False),
               help="File for the verdict and each check, as JSON.")  # fmt: skip
 @click.option(
-    "--without", multiple=True, type=click.Choice(PIECES), help="Switch off a feature of the peer exchange."
+    "--without", multiple=True, type=click.Choice(FEATURES), help="Switch off a feature of the peer exchange."
 )
 @click.option("--seed", default=1, show_default=True, help="Seed of the random number generators.")
 @click.option("--folder", type=click.Path(path_type=Path, file_okay=False),
--- a/damsonstream/program/gathering.py
+++ b/damsonstream/program/gathering.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from damsonstream.peers.council import TURN, Council, source_id
+from damsonstream.peers.council import GOSSIP_INTERVAL, PeerAgent, source_id
 from damsonstream.program.config import Config
 from damsonstream.protocol import bulletin
 from damsonstream.routing.gateway import NS_PER_TICK, TICKS_PER_MS, Clock
@@ -42,18 +42,18 @@
         location = config.locations.index(config.location) if config.location in config.locations else 0
         incarnation = max(0, clock.unix() // (NS_PER_TICK * 1000) - BOOT_EPOCH_S * 10) & 0xFFFFFFFF
         footprint = config.footprint
-        self.coordinator = Council(
+        self.coordinator = PeerAgent(
             config.name, config.place, footprint.gateways, location, footprint.location_gateways, incarnation,
             config.message_price, config.seed & 0xFFFFFFFF, clock.now(), features,
         )  # fmt: skip
         if recorder is not None:
-            self.coordinator.on_turn = self.record_turn
+            self.coordinator.on_trial = self.record_turn
         assert config.peer_listen is not None
         self.socket = PeerSocket(config.peer_listen, config.peers, self.on_datagram)
 
     def keeps_idle(self, cache: str) -> bool:
         """Returns whether the cache is assigned to this gateway, so that idle connections to it are kept."""
-        return self.coordinator.keeps(source_id(cache))
+        return self.coordinator.watches(source_id(cache))
 
     async def open(self) -> None:
         await self.socket.open()
@@ -65,7 +65,7 @@
         self.coordinator.resize(self.clock.now(), footprint.gateways, footprint.location_gateways)
 
     def on_datagram(self, peer_index: int, data: bytes) -> None:
-        self.deliver(self.coordinator.heard(self.clock.now(), peer_index, data))
+        self.deliver(self.coordinator.receive(self.clock.now(), peer_index, data))
 
     def update_list(self, event: bulletin.ListChanged) -> None:
         if event.whole:
@@ -95,18 +95,18 @@
         """Logs and records the view of this gateway when it changes; records it each `RECORD_INTERVAL` as
         well."""
         coordinator, members = self.coordinator, self.coordinator.members
-        standing = members.standing(now)
-        silent = sorted(peer for peer in members.silences if members.silent(now, peer))
+        standing = members.own_status(now)
+        silent = sorted(peer for peer in members.suspected if members.is_silent(now, peer))
         changed = (standing, silent) != self.recorded
         if changed and standing != self.recorded[0]:
             silent_peers = ",".join(map(str, silent)) or "-"
             log.info("standing", extra={"what": standing, "silent": silent_peers})
         if self.recorder is not None and (changed or now - self.recorded_at >= RECORD_INTERVAL):
-            shares = (coordinator.near, coordinator.far)
-            lent = sum(lease.millionths for share in shares for lease in share.given.values())
-            borrowed = sum(lease.millionths for share in shares for lease in share.taken.values())
-            near_millionths, far_millionths = (share.millionths(now) for share in shares)
-            counters = coordinator.counted
+            shares = (coordinator.location_shares, coordinator.fleet_shares)
+            lent = sum(lease.millionths for share in shares for lease in share.lent.values())
+            borrowed = sum(lease.millionths for share in shares for lease in share.borrowed.values())
+            near_millionths, far_millionths = (share.usable_millionths(now) for share in shares)
+            counters = coordinator.counters
             self.recorder.peers(now, standing, silent, near_millionths, far_millionths, lent, borrowed,
                                 counters["sent"], counters["heard"])  # fmt: skip
             self.recorded_at = now
@@ -115,10 +115,10 @@
     async def run(self) -> None:
         """Sends the messages that are due in each round. Never returns."""
         while True:
-            await anyio.sleep(TURN / (1000 * TICKS_PER_MS))
+            await anyio.sleep(GOSSIP_INTERVAL / (1000 * TICKS_PER_MS))
             try:
                 now = self.clock.now()
-                datagrams, notices = self.coordinator.due(now)
+                datagrams, notices = self.coordinator.poll(now)
                 for peer_index, data in datagrams:
                     self.socket.send(peer_index, data)
                 self.deliver(notices)
--- a/damsonstream/settings/operator.py
+++ b/damsonstream/settings/operator.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.records.keeper import Limits
 from damsonstream.settings import kdl
 
@@ -59,7 +59,7 @@
 
 def read_peers(section: kdl.Section) -> frozenset[str]:
     """Returns the enabled features: each one is on unless the section sets it to #false."""
-    features = frozenset(name for name in PIECES if section.flag(name, True))
+    features = frozenset(name for name in FEATURES if section.flag(name, True))
     section.finish()
     return features
 
--- a/damsonstream/together/checks.py
+++ b/damsonstream/together/checks.py
@@ -176,7 +176,7 @@
     """
     reported: dict[int, dict[int, float]] = {}
     for at, by, item in seen.told:
-        if check.start <= at < check.end and isinstance(item, wire.Zone) \
+        if check.start <= at < check.end and isinstance(item, wire.ZoneItem) \
                 and item.state == state and seen.zones.get(item.zone) == check.of:  # fmt: skip
             reported.setdefault(item.epoch, {}).setdefault(seen.names.index(by), at)
     return reported[min(reported)] if reported else {}
@@ -190,15 +190,15 @@
 
 def zone_loss_count(check: Check, seen: Seen) -> float:
     """Counts the distinct losses of a zone (by epoch) that any gateway reported."""
-    return len({item.epoch for _, item in seen.messages_matching(check, wire.Zone)
-                if isinstance(item, wire.Zone) and seen.zones.get(item.zone) == check.of
+    return len({item.epoch for _, item in seen.messages_matching(check, wire.ZoneItem)
+                if isinstance(item, wire.ZoneItem) and seen.zones.get(item.zone) == check.of
                 and item.state == 2})  # fmt: skip
 
 
 def zone_change_count(check: Check, seen: Seen) -> float:
     """Counts the distinct state changes of a zone that any gateway reported."""
-    return len({(item.epoch, item.step) for _, item in seen.messages_matching(check, wire.Zone)
-                if isinstance(item, wire.Zone) and seen.zones.get(item.zone) == check.of})  # fmt: skip
+    return len({(item.epoch, item.step) for _, item in seen.messages_matching(check, wire.ZoneItem)
+                if isinstance(item, wire.ZoneItem) and seen.zones.get(item.zone) == check.of})  # fmt: skip
 
 
 def outcome_share(outcome: str) -> Callable[[Check, Seen], float]:
@@ -218,15 +218,15 @@
 def suspecting_gateways(check: Check, seen: Seen) -> float:
     """Counts the gateways that reported that they no longer receive messages from the checked gateway."""
     index = seen.names.index(check.of) if check.of else -1
-    return len({item.by for _, item in seen.messages_matching(check, wire.Doubt)
-                if isinstance(item, wire.Doubt) and item.of == index})  # fmt: skip
+    return len({item.by for _, item in seen.messages_matching(check, wire.Suspicion)
+                if isinstance(item, wire.Suspicion) and item.of == index})  # fmt: skip
 
 
 def other_suspected_gateways(check: Check, seen: Seen) -> float:
     """Counts the other gateways that were suspected by two or more gateways."""
     suspicions: dict[int, set[int]] = {}
-    for _, item in seen.messages_matching(check, wire.Doubt):
-        if isinstance(item, wire.Doubt) and seen.names[item.of] != check.of:
+    for _, item in seen.messages_matching(check, wire.Suspicion):
+        if isinstance(item, wire.Suspicion) and seen.names[item.of] != check.of:
             suspicions.setdefault(item.of, set()).add(item.by)
     return sum(len(by) > 1 for by in suspicions.values())
 
--- a/damsonstream/together/relay.py
+++ b/damsonstream/together/relay.py
@@ -111,8 +111,8 @@
         for datagram in self.log:
             if datagram.at >= start:
                 try:
-                    found += [(datagram, item) for item in wire.read(datagram.data).items]
-                except wire.Unreadable:
+                    found += [(datagram, item) for item in wire.decode(datagram.data).items]
+                except wire.UnreadableDatagram:
                     continue
         return found
 
--- a/damsonstream/together/rig.py
+++ b/damsonstream/together/rig.py
@@ -20,9 +20,9 @@
 from damsonstream.demo.figures import OFFERS, REMEMBERED
 from damsonstream.demo.fleet import Fleet, free_port
 from damsonstream.demo.scenario import Scenario
-from damsonstream.peers.council import digest as zone_digest
+from damsonstream.peers.council import hash_zone as zone_digest
 from damsonstream.peers.council import source_id
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.standins import wire
 from damsonstream.standins.clients import Front
 from damsonstream.standins.faults import Plan
@@ -60,7 +60,7 @@
         self.discovery_streams: dict[str, StreamRelay] = {}
         self.scenario = Scenario(script.name, script.about, script.lasts, script.rate,
                                  len(self.names), script.caches, script.hubs, (), ())  # fmt: skip
-        features = "".join(f"    {name} #{str(name not in without).lower()}\n" for name in PIECES)
+        features = "".join(f"    {name} #{str(name not in without).lower()}\n" for name in FEATURES)
         operator = f"peers {{\n{features}}}\n" + ('tiers "tiers.kdl"\n' if script.zones else "")
         self.fleet = Fleet(folder, folder / "records", self.names, (), self.gateway_config, operator)
         self.peer_ports = {name: free_port(socket.SOCK_DGRAM) for name in self.names}
--- a/damsonstream/together/script.py
+++ b/damsonstream/together/script.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.settings import kdl
 from damsonstream.standins.faults import KINDS as NODE_KINDS
 from damsonstream.standins.faults import Fault
@@ -100,8 +100,8 @@
     if lasts > MOST:
         raise document.fault(f"lasts longer than {MOST:g} s", "lasts")
     feature = document.text("piece")
-    if feature and feature not in PIECES:
-        raise document.fault(f"{feature} is none of {', '.join(PIECES)}", "piece")
+    if feature and feature not in FEATURES:
+        raise document.fault(f"{feature} is none of {', '.join(FEATURES)}", "piece")
     gateways = tuple(f"n{n + 1}" for n in range(int(document.number("gateways", 6, 1, 32))))
     caches, hubs = int(document.number("caches", 4, 1, 64)), int(document.number("hubs", 2, 1, 16))
     nodes = [f"cache-1-{n + 1}" for n in range(caches)] + [f"hub-{n + 1}" for n in range(hubs)] + ["vault"]
--- a/damsonstream/virtual/fleet.py
+++ b/damsonstream/virtual/fleet.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 
 from damsonstream.emulator.engine import Engine
-from damsonstream.peers.council import TURN, Council
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.council import GOSSIP_INTERVAL, PeerAgent
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.virtual.links import MS, Links, S
 
 FAILURES_TO_OPEN = 5  # failed fills in a row that open a breaker: the router's minimum
@@ -42,7 +42,7 @@
     """One simulated gateway process and its state."""
 
     index: int
-    agent: Council
+    agent: PeerAgent
     clock_offset: int  # of its clock to virtual time
     demand: float  # GETs a second
     breakers: list[Breaker]
@@ -57,7 +57,7 @@
     def __init__(
         self, count: int, seed: int, *, sources: int = 4, demands: Iterable[float] | None = None,
         links: Links | None = None, message_cost: float = 0.01,
-        features: frozenset[str] = frozenset(PIECES), locations: int = 1, max_clock_offset: int = 3 * S,
+        features: frozenset[str] = frozenset(FEATURES), locations: int = 1, max_clock_offset: int = 3 * S,
         fills_per_get: float = 0.3,
     ) -> None:  # fmt: skip
         """`demands`: GETs a second by gateway; `fills_per_get`: fills for each GET; `max_clock_offset`: how
@@ -89,12 +89,12 @@
             )  # fmt: skip
             self.start_loops(self.gateways[index])
 
-    def new_agent(self, index: int, clock_offset: int, boot_count: int = 1) -> Council:
+    def new_agent(self, index: int, clock_offset: int, boot_count: int = 1) -> PeerAgent:
         """Returns the agent of a gateway that starts."""
         location_size = sum(
             1 for other in range(self.count) if other % self.location_count == index % self.location_count
         )
-        agent = Council(f"n{index}", index, self.count, index % self.location_count, location_size,
+        agent = PeerAgent(f"n{index}", index, self.count, index % self.location_count, location_size,
                         1000 + self.now // 1000 + boot_count, self.message_cost, self.rng.getrandbits(32),
                         self.now + clock_offset, self.features)  # fmt: skip
         agent.listed((), tuple(self.sources))
@@ -103,7 +103,7 @@
     def start_loops(self, gateway: Gateway) -> None:
         """Schedules the first poll and the first GET of a gateway."""
         agent = gateway.agent
-        self.after(self.rng.randrange(TURN), lambda: self.poll_agent(gateway, agent))
+        self.after(self.rng.randrange(GOSSIP_INTERVAL), lambda: self.poll_agent(gateway, agent))
         self.after(self.random_interval(gateway.demand), lambda: self.send_get(gateway, agent))
 
     def random_interval(self, rate: float) -> int:
@@ -139,22 +139,22 @@
 
     # behaviour of a gateway
 
-    def is_current(self, gateway: Gateway, agent: Council) -> bool:
+    def is_current(self, gateway: Gateway, agent: PeerAgent) -> bool:
         """Returns whether this process of the gateway still runs."""
         return gateway.alive and gateway.agent is agent
 
-    def poll_agent(self, gateway: Gateway, agent: Council) -> None:
+    def poll_agent(self, gateway: Gateway, agent: PeerAgent) -> None:
         """Polls the agent, sends its datagrams and schedules the next poll."""
         if not self.is_current(gateway, agent):
             return
         if self.now < gateway.stalled_until:
             return self.at(gateway.stalled_until, lambda: self.poll_agent(gateway, agent))
-        out, verdicts = agent.due(self.now + gateway.clock_offset)
+        out, verdicts = agent.poll(self.now + gateway.clock_offset)
         for verdict in verdicts:
             self.apply_verdict(gateway, verdict.node, verdict.verdict)
         for receiver, data in out:
             self.send(gateway, receiver, data)
-        self.after(TURN, lambda: self.poll_agent(gateway, agent))
+        self.after(GOSSIP_INTERVAL, lambda: self.poll_agent(gateway, agent))
 
     def send(self, gateway: Gateway, receiver: int, data: bytes) -> None:
         """Schedules the arrival of each copy of a datagram that the links deliver."""
@@ -163,14 +163,14 @@
         for delay in self.links.delivery_delays(self.now, gateway.index, receiver):
             self.after(delay, lambda: self.deliver(other, other.agent, gateway.index, data))
 
-    def deliver(self, gateway: Gateway, agent: Council, sender: int, data: bytes) -> None:
+    def deliver(self, gateway: Gateway, agent: PeerAgent, sender: int, data: bytes) -> None:
         """Passes a datagram to the agent, or keeps it while the process is stalled."""
         if not self.is_current(gateway, agent):
             return
         if self.now < gateway.stalled_until:
             gateway.undelivered.append((sender, data))
             return
-        for verdict in agent.heard(self.now + gateway.clock_offset, sender, data):
+        for verdict in agent.receive(self.now + gateway.clock_offset, sender, data):
             self.apply_verdict(gateway, verdict.node, verdict.verdict)
 
     def apply_verdict(self, gateway: Gateway, source: int, verdict: str) -> None:
@@ -198,7 +198,7 @@
         cooldown_end = breaker.retry_at + gateway.clock_offset
         return ready and gateway.agent.turn(local, self.sources[source_index], False, cooldown_end)
 
-    def send_get(self, gateway: Gateway, agent: Council) -> None:
+    def send_get(self, gateway: Gateway, agent: PeerAgent) -> None:
         """Simulates a GET, and a fill where it needs one, and schedules the next GET."""
         if not self.is_current(gateway, agent):
             return
@@ -225,7 +225,7 @@
                    lambda: self.fill_ended(gateway, agent, source_index, is_trial, succeeds))  # fmt: skip
 
     def fill_ended(
-        self, gateway: Gateway, agent: Council, source_index: int, is_trial: bool, succeeded: bool
+        self, gateway: Gateway, agent: PeerAgent, source_index: int, is_trial: bool, succeeded: bool
     ) -> None:
         """Reports the outcome of a fill to the breaker and the agent."""
         if not self.is_current(gateway, agent) or self.now < gateway.stalled_until:
@@ -253,7 +253,7 @@
 
     # measurements
 
-    def track_share_sums(self, interval: int = TURN) -> None:
+    def track_share_sums(self, interval: int = GOSSIP_INTERVAL) -> None:
         """Samples, from now on, the sum of the shares that all gateways hold at one time; keeps the
         largest."""
 
--- a/damsonstream/virtual/links.py
+++ b/damsonstream/virtual/links.py
@@ -39,7 +39,7 @@
     return lambda now, sender, receiver: start <= now < end and group_of(sender) != group_of(receiver)
 
 
-def faulty(fault: str, seed: int) -> Links:
+def links_with_fault(fault: str, seed: int) -> Links:
     """Returns links by the fault names of the benchmarks: `lost 30%`, `late 5 s`, `split`; others: no
     fault."""
     rng = random.Random(seed)
--- a/damsonstream/virtual/zones.py
+++ b/damsonstream/virtual/zones.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 
 from damsonstream.peers import order
-from damsonstream.peers.council import Council, source_id
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.council import PeerAgent, source_id
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.tiers.service import Alone, Service
 from damsonstream.tiers.shape import CACHE, HUB, VAULT, Node, Shape, Zone, shape_of
 from damsonstream.virtual.fleet import FILL_TIMEOUT, Breaker, Fleet, Gateway
@@ -24,7 +24,7 @@
 HUBS_PER_ZONE = 2
 SPILL_FRACTION = 0.2  # of the capacity of a zone's hubs, open to fills of other zones
 RAMP_SECONDS = 10.0
-HOWS = ("common", "alone", "no limit", "never")  # modes of ZoneFleet
+MODES = ("common", "alone", "no limit", "never")  # modes of ZoneFleet
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,9 +68,9 @@
         self.shape = build_shape(zones, count, fills_per_second, 0.0 if mode == "never" else SPILL_FRACTION)
         self.hubs = [node.name for node in self.shape.role(HUB)]
         self.services: dict[int, Service] = {}
-        self.fills_seen: list[Fill] = []
+        self.fills: list[Fill] = []
         self.lost_hubs: set[str] = set()
-        features = frozenset(PIECES) if mode in ("common", "never") else frozenset[str]()
+        features = frozenset(FEATURES) if mode in ("common", "never") else frozenset[str]()
         # a Pareto distribution, as in benchmarks/peers.py: most gateways have little demand
         rng = random.Random(seed)
         weights = [rng.paretovariate(1.8) for _ in range(count)]
@@ -80,7 +80,7 @@
                          fills_per_get=1.0)  # fmt: skip
         self.sources = [source_id(name) for name in self.hubs]
 
-    def new_agent(self, index: int, clock_offset: int, boot_count: int = 1) -> Council:
+    def new_agent(self, index: int, clock_offset: int, boot_count: int = 1) -> PeerAgent:
         agent = super().new_agent(index, clock_offset, boot_count)
         agent.listed((), tuple(source_id(name) for name in self.hubs))
         zone_view = agent if self.mode in ("common", "never") else Alone(self.count)
@@ -94,15 +94,15 @@
         """Returns the zone of a gateway."""
         return f"z{index % self.zone_count}"
 
-    def lose(self, zone: str) -> None:
+    def lose_zone(self, zone: str) -> None:
         """Makes all hubs of a zone fail."""
         self.lost_hubs |= {hub for hub in self.hubs if self.shape.nodes[hub].zone == zone}
 
-    def back(self, zone: str) -> None:
+    def restore_zone(self, zone: str) -> None:
         """Makes all hubs of a zone work again."""
         self.lost_hubs = {hub for hub in self.lost_hubs if self.shape.nodes[hub].zone != zone}
 
-    def poll_agent(self, gateway: Gateway, agent: Council) -> None:
+    def poll_agent(self, gateway: Gateway, agent: PeerAgent) -> None:
         if self.is_current(gateway, agent) and self.now >= gateway.stalled_until:
             self.services[gateway.index].tick(self.now + gateway.clock_offset)
         super().poll_agent(gateway, agent)
@@ -130,7 +130,7 @@
                 yield self.hubs[source_index]
         yield "vault"
 
-    def send_get(self, gateway: Gateway, agent: Council) -> None:
+    def send_get(self, gateway: Gateway, agent: PeerAgent) -> None:
         if not self.is_current(gateway, agent):
             return
         self.after(self.random_interval(gateway.demand), lambda: self.send_get(gateway, agent))
@@ -141,15 +141,15 @@
         service, cache = self.services[gateway.index], f"{own_zone}-c"
         allowed = service.among(local, cache, self.rng.random(), list(self.usable_sources(gateway, local)))
         if not allowed:
-            self.fills_seen.append(Fill(self.now, own_zone, ""))
+            self.fills.append(Fill(self.now, own_zone, ""))
             return
         name = allowed[0]
         service.sent(local, cache, name)
         if name == "vault":
-            self.fills_seen.append(Fill(self.now, own_zone, "vault"))
+            self.fills.append(Fill(self.now, own_zone, "vault"))
             return
         source_index = self.hubs.index(name)
-        self.fills_seen.append(Fill(self.now, own_zone, self.shape.nodes[name].zone))
+        self.fills.append(Fill(self.now, own_zone, self.shape.nodes[name].zone))
         is_trial = gateway.breakers[source_index].open
         if is_trial:
             gateway.breakers[source_index].trying = True
@@ -159,7 +159,7 @@
                    lambda: self.fill_ended(gateway, agent, source_index, is_trial, succeeds))  # fmt: skip
 
     def fill_ended(
-        self, gateway: Gateway, agent: Council, source_index: int, is_trial: bool, succeeded: bool
+        self, gateway: Gateway, agent: PeerAgent, source_index: int, is_trial: bool, succeeded: bool
     ) -> None:
         breaker, was_open = gateway.breakers[source_index], gateway.breakers[source_index].open
         if self.is_current(gateway, agent):
@@ -176,18 +176,18 @@
         return [self.services[g.index].common.zone_state(self.now + g.clock_offset, zone)[0]
                 for g in self.gateways if g.alive]  # fmt: skip
 
-    def hold(self, zone: str, state: str) -> float:
+    def fraction_in_state(self, zone: str, state: str) -> float:
         """Returns the fraction of the running gateways at which a zone has that state."""
         states = self.states(zone)
         return states.count(state) / max(1, len(states))
 
-    def worst_spill(self) -> float:
+    def max_spill_ratio(self) -> float:
         """Returns the most fills that spilled into one zone within a second, divided by its limit."""
         largest = 0.0
         limits = {name: SPILL_FRACTION * 2 * sum(g.demand for g in self.gateways) / self.zone_count
                   for name in self.shape.zones}  # fmt: skip
         for zone in self.shape.zones:
-            times = [f.at for f in self.fills_seen if f.to == zone and f.home != zone]
+            times = [f.at for f in self.fills if f.to == zone and f.home != zone]
             first = 0
             for last, at in enumerate(times):
                 while times[first] <= at - S:
@@ -195,17 +195,17 @@
                 largest = max(largest, (last - first + 1) / limits[zone])
         return largest
 
-    def lost_share(self, start: int, end: int) -> float:
+    def unserved_fraction(self, start: int, end: int) -> float:
         """Returns the fraction of the fills between two times that found no source."""
-        span = [f for f in self.fills_seen if start <= f.at < end]
+        span = [f for f in self.fills if start <= f.at < end]
         return sum(not f.to for f in span) / max(1, len(span))
 
-    def near_share(self, start: int, end: int) -> float:
+    def own_zone_fraction(self, start: int, end: int) -> float:
         """Returns the fraction of the fills between two times that stayed in their own zone."""
-        span = [f for f in self.fills_seen if start <= f.at < end]
+        span = [f for f in self.fills if start <= f.at < end]
         return sum(f.to == f.home for f in span) / max(1, len(span))
 
-    def changes(self) -> int:
+    def max_changes(self) -> int:
         """Returns the largest number of changes of verdict at one gateway, over all zones."""
         found = []
         for index in range(self.count):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -15,10 +15,10 @@
 from damsonstream.incident.clocks import Clocks
 from damsonstream.incident.phases import Watch
 from damsonstream.peers import shares, subsets, turns, wire
-from damsonstream.peers.council import Council
+from damsonstream.peers.council import PeerAgent
 from damsonstream.peers.evidence import Evidence, PeerReport, merge
 from damsonstream.peers.members import Membership
-from damsonstream.peers.pieces import PIECES
+from damsonstream.peers.pieces import FEATURES
 from damsonstream.peers.turns import TrialSchedule
 from damsonstream.records import model
 from damsonstream.records.store import Item
@@ -27,7 +27,7 @@
 from damsonstream.virtual.links import Links, S, block_incoming, partition
 from tests.helpers import FOOTPRINT, Desk, entry
 
-NO_FEATURES = frozenset(PIECES) - {"evidence", "turns", "shares", "subsets", "members", "zones"}
+NO_FEATURES = frozenset(FEATURES) - {"evidence", "turns", "shares", "subsets", "members", "zones"}
 u32s = st.integers(0, 0xFFFFFFFF)
 indexes = st.integers(0, 65_535)
 wire_items = st.one_of(
@@ -35,9 +35,9 @@
     st.builds(wire.OutcomeReport, indexes, u32s, st.integers(0, 1 << 40), u32s, indexes, st.integers(0, 255),
               st.integers(0, 255)),
     st.builds(wire.Trial, indexes, u32s, st.integers(0, 1 << 40), u32s, indexes, st.integers(0, 2)),
-    st.builds(wire.Doubt, indexes, indexes, u32s, st.integers(0, 1 << 40)),
+    st.builds(wire.Suspicion, indexes, indexes, u32s, st.integers(0, 1 << 40)),
     st.builds(wire.LeaseRequest, indexes, u32s, u32s, st.integers(1, 1_000_000)),
-    st.builds(wire.Zone, u32s, indexes, indexes, st.integers(0, 2), st.integers(0, 100),
+    st.builds(wire.ZoneItem, u32s, indexes, indexes, st.integers(0, 2), st.integers(0, 100),
               st.integers(0, 255)),
     st.builds(wire.Grant, indexes, u32s, u32s, st.integers(1, 1_000_000), st.integers(1, 600_000)),
 )  # fmt: skip
@@ -47,8 +47,8 @@
 )
 
 
-def make_agent(own_index: int = 0, fleet_size: int = 8, now: int = 0, **more: int) -> Council:
-    return Council(
+def make_agent(own_index: int = 0, fleet_size: int = 8, now: int = 0, **more: int) -> PeerAgent:
+    return PeerAgent(
         f"n{own_index}", own_index, fleet_size, 0, fleet_size, more.get("boot", 1000), 0.01, 5, now
     )
 
@@ -63,7 +63,7 @@
     @given(st.lists(wire_items, max_size=4))
     def test_decode_reverses_encode(self, items: list[wire.Item]) -> None:
         sent = wire.Datagram(wire.FORMAT_VERSION, "n1", 1, 7, 9, items)
-        self.assertEqual(wire.read(wire.encode(sent)), sent)
+        self.assertEqual(wire.decode(wire.encode(sent)), sent)
 
     @settings(max_examples=300)
     @given(
@@ -77,36 +77,36 @@
         valid = bytearray(datagram(1, 1, *items))
         valid[position % len(valid)] = byte
         for data in (noise, bytes(valid)):
-            agent.heard(S, 1, data)
-        agent.due(S)
+            agent.receive(S, 1, data)
+        agent.poll(S)
         kinds = ("heard", "garbled", "long", "form", "foreign", "twin", "repeated", "old", "nonsense")
-        self.assertGreaterEqual(sum(agent.counted[kind] for kind in kinds), 2)
+        self.assertGreaterEqual(sum(agent.counters[kind] for kind in kinds), 2)
         self.assertLessEqual(len(agent.members.others), 8)
 
     def test_foreign_old_and_duplicate_datagrams_are_dropped(self) -> None:
         agent = make_agent()
         heartbeat = wire.Heartbeat(1, 1000, 5, 0, 300)
-        agent.heard(0, 1, datagram(1, 3, heartbeat))
-        agent.heard(0, 1, datagram(1, 3, heartbeat))  # a duplicate
-        agent.heard(0, 1, datagram(1, 2, heartbeat))  # late, but not received before
-        agent.heard(0, 1, datagram(1, 9, heartbeat, boot=900))  # of an earlier boot
-        agent.heard(0, 2, datagram(1, 10, heartbeat))  # from another gateway's address
-        agent.heard(0, -1, datagram(1, 11, heartbeat))  # from an unknown address
-        agent.heard(0, 2, datagram(2, 1, heartbeat, name="n1"))  # two gateways with one name
+        agent.receive(0, 1, datagram(1, 3, heartbeat))
+        agent.receive(0, 1, datagram(1, 3, heartbeat))  # a duplicate
+        agent.receive(0, 1, datagram(1, 2, heartbeat))  # late, but not received before
+        agent.receive(0, 1, datagram(1, 9, heartbeat, boot=900))  # of an earlier boot
+        agent.receive(0, 2, datagram(1, 10, heartbeat))  # from another gateway's address
+        agent.receive(0, -1, datagram(1, 11, heartbeat))  # from an unknown address
+        agent.receive(0, 2, datagram(2, 1, heartbeat, name="n1"))  # two gateways with one name
         # a boot far in the future
-        agent.heard(0, 3, datagram(3, 1, wire.Heartbeat(4, 0xFFFFFFFF, 1, 0, 1)))
-        counts = {name: count for name, count in agent.counted.items() if name not in ("sent", "bytes")}
+        agent.receive(0, 3, datagram(3, 1, wire.Heartbeat(4, 0xFFFFFFFF, 1, 0, 1)))
+        counts = {name: count for name, count in agent.counters.items() if name not in ("sent", "bytes")}
         self.assertEqual(counts, {"heard": 3, "repeated": 2, "foreign": 2, "twin": 1, "nonsense": 1})
 
     def test_datagrams_that_waited_during_a_stall_are_discarded(self) -> None:
         agent = make_agent()
         for turn in range(5):
-            agent.due(turn * S // 10)
+            agent.poll(turn * S // 10)
         report = wire.OutcomeReport(1, 1000, 1, 77, wire.ALL_LOCATIONS, 0, 3)
-        agent.heard(6 * S, 1, datagram(1, 1, report))
-        agent.due(6 * S + 10)
-        agent.heard(6 * S + S // 2, 2, datagram(2, 1, report))
-        self.assertEqual((agent.counted["old"], agent.counted["heard"]), (1, 1))
+        agent.receive(6 * S, 1, datagram(1, 1, report))
+        agent.poll(6 * S + 10)
+        agent.receive(6 * S + S // 2, 2, datagram(2, 1, report))
+        self.assertEqual((agent.counters["old"], agent.counters["heard"]), (1, 1))
 
 
 class EvidenceTest(unittest.TestCase):
@@ -223,7 +223,7 @@
     def test_two_suspicions_make_a_gateway_silent_and_a_heartbeat_refutes_them(self) -> None:
         membership, suspect, its_neighbors = self.neighborhood()
         membership.receive_heartbeat(0, wire.Heartbeat(suspect, 5, 3, 0, 0), True)
-        suspicions = [wire.Doubt(reporter, suspect, 5, 3) for reporter in its_neighbors]
+        suspicions = [wire.Suspicion(reporter, suspect, 5, 3) for reporter in its_neighbors]
         self.assertTrue(membership.receive_suspicion(S, suspicions[0]))
         self.assertEqual(membership.state(5 * S, suspect), "here")
         membership.receive_suspicion(S, suspicions[1])
@@ -240,7 +240,7 @@
         membership.receive_heartbeat(0, wire.Heartbeat(suspect, 5, 3, 0, 0), True)
         strangers = [p for p in range(1, 12) if p not in (suspect, *its_neighbors)][:3]
         for reporter in strangers:
-            self.assertFalse(membership.receive_suspicion(S, wire.Doubt(reporter, suspect, 5, 3)))
+            self.assertFalse(membership.receive_suspicion(S, wire.Suspicion(reporter, suspect, 5, 3)))
         self.assertEqual(membership.state(9 * S, suspect), "here")
 
     def test_isolated_gateway_suspects_nobody(self) -> None:
@@ -248,7 +248,7 @@
         membership.receive_heartbeat(0, wire.Heartbeat(suspect, 5, 3, 0, 0), True)
         membership.datagram_received(0)
         suspicions = [suspicion for turn in range(0, 40 * S, S) for suspicion in membership.tick(turn)]
-        self.assertEqual((suspicions, membership.standing(40 * S)), ([], "cut off"))
+        self.assertEqual((suspicions, membership.own_status(40 * S)), ([], "cut off"))
 
     def test_a_stall_makes_nobody_suspected(self) -> None:
         membership, suspect, _ = self.neighborhood()
@@ -312,7 +312,7 @@
 
     def test_few_trials_while_a_source_is_dead(self) -> None:
         trial_counts = []
-        for features in (frozenset(PIECES), frozenset(PIECES) - {"turns"}):
+        for features in (frozenset(FEATURES), frozenset(FEATURES) - {"turns"}):
             fleet = self.fleet(40, features=features)
             fleet.until(5 * S)
             fleet.dead_sources.add(0)
@@ -334,7 +334,7 @@
             fleet.at((9 + index % 4) * S, lambda index=index: fleet.restart(index))  # type: ignore[misc]
         fleet.at(12 * S, lambda: fleet.stall(1, 5 * S))
         fleet.until(30 * S)
-        self.assertGreater(sum(len(g.agent.far.taken) for g in fleet.gateways), 3)
+        self.assertGreater(sum(len(g.agent.fleet_shares.borrowed) for g in fleet.gateways), 3)
         self.assertLessEqual(fleet.max_share_sum["far"], 1.000001)
         self.assertLessEqual(fleet.max_share_sum["near"], 1.000001)
 
@@ -353,18 +353,18 @@
         self.assertLessEqual(max(fleet.max_share_sum.values()), 1.000001)
         local = fleet.now + busy.clock_offset
         self.assertGreater(busy.agent.part(local, False), 2 / 20)  # more than twice the equal share
-        status = [g.agent.members.standing(fleet.now + g.clock_offset) for g in fleet.gateways]
+        status = [g.agent.members.own_status(fleet.now + g.clock_offset) for g in fleet.gateways]
         self.assertGreaterEqual(status.count("well"), 18)
 
     def test_resized_list_of_peers(self) -> None:
         agent = make_agent(0, fleet_size=8)
-        agent.heard(0, 7, datagram(7, 1, wire.Heartbeat(7, 1000, 1, 0, 300)))
+        agent.receive(0, 7, datagram(7, 1, wire.Heartbeat(7, 1000, 1, 0, 300)))
         agent.resize(1000, 4, 4)
-        agent.heard(1000, 7, datagram(7, 2, wire.Heartbeat(7, 1000, 2, 0, 300)))
-        agent.heard(1000, 3, datagram(3, 1, wire.OutcomeReport(6, 1000, 1, 77, wire.ALL_LOCATIONS, 0, 1)))
-        self.assertEqual((agent.counted["foreign"], sorted(agent.members.others)), (1, []))
+        agent.receive(1000, 7, datagram(7, 2, wire.Heartbeat(7, 1000, 2, 0, 300)))
+        agent.receive(1000, 3, datagram(3, 1, wire.OutcomeReport(6, 1000, 1, 77, wire.ALL_LOCATIONS, 0, 1)))
+        self.assertEqual((agent.counters["foreign"], sorted(agent.members.others)), (1, []))
         agent.resize(2000, 8, 8)
-        agent.heard(2000, 7, datagram(7, 3, wire.Heartbeat(7, 1000, 3, 0, 300)))
+        agent.receive(2000, 7, datagram(7, 3, wire.Heartbeat(7, 1000, 3, 0, 300)))
         self.assertEqual(sorted(agent.members.others), [7])
         self.assertLessEqual(agent.part(2000, False), 1 / 8)
 
@@ -429,12 +429,12 @@
         links.cuts.append(partition(5 * S, 25 * S, lambda index: index < 10))
         fleet = self.fleet(30, links=links)
         fleet.until(24 * S)
-        status = {g.agent.members.standing(fleet.now + g.clock_offset) for g in fleet.gateways}
+        status = {g.agent.members.own_status(fleet.now + g.clock_offset) for g in fleet.gateways}
         self.assertLessEqual(status, {"split", "well"})
-        sides = [g.agent.members.standing(fleet.now + g.clock_offset) for g in fleet.gateways]
+        sides = [g.agent.members.own_status(fleet.now + g.clock_offset) for g in fleet.gateways]
         self.assertGreater(sides.count("split"), 24)
         fleet.until(50 * S)
-        status = {g.agent.members.standing(fleet.now + g.clock_offset) for g in fleet.gateways}
+        status = {g.agent.members.own_status(fleet.now + g.clock_offset) for g in fleet.gateways}
         self.assertEqual(status, {"well"})
 
 
--- a/tests/test_peers_model.py
+++ b/tests/test_peers_model.py
@@ -49,14 +49,14 @@
             return tuple(sorted((x.peer, x.millionths, x.expires_at - self.now, x.requested_at - self.now)
                                 for x in table.values() if x.expires_at > self.now))  # fmt: skip
 
-        states = [(leases(one.given), leases(one.taken), leases(one.pending),
+        states = [(leases(one.lent), leases(one.borrowed), leases(one.pending),
                    max(-1, one.settled_at - self.now)) for one in self.gateways]  # fmt: skip
         last = self.gateways[0].sequence  # of leases and requests, which only the first one makes
         in_flight = sorted((a, b, last - item.lease, last - item.request) for a, b, item in self.in_flight)
         return tuple(states), tuple(in_flight), self.restarts
 
     def total(self) -> int:
-        return sum(one.millionths(self.now) for one in self.gateways)
+        return sum(one.usable_millionths(self.now) for one in self.gateways)
 
     def successors(self) -> list[tuple[str, SharedCap]]:
         """Returns the possible next states, each with the name of the event."""
@@ -128,17 +128,17 @@
             if lease is None:
                 return False
             # counted from when the grant came
-            one.taken[grant.lease] = shares.Lease(peer, grant.millionths, now + LEASE_DURATION, now)
+            one.borrowed[grant.lease] = shares.Lease(peer, grant.millionths, now + LEASE_DURATION, now)
             return True
 
         def unrequested(one: Shares, now: int, peer: int, grant: wire.Grant) -> bool:
             # requested or not
-            one.taken[grant.lease] = shares.Lease(peer, grant.millionths, now + LEASE_DURATION, now)
+            one.borrowed[grant.lease] = shares.Lease(peer, grant.millionths, now + LEASE_DURATION, now)
             return True
 
         def lend_used(one: Shares, now: int, peer: int, request: wire.LeaseRequest) -> wire.Grant | None:
             # lends what it continues to use
-            one.given[peer, request.request] = shares.Lease(peer, 1, now + LEASE_DURATION)
+            one.lent[peer, request.request] = shares.Lease(peer, 1, now + LEASE_DURATION)
             return wire.Grant(0, request.lease, request.request, request.millionths, LEASE_DURATION)
 
         owned = Shares.owned
