--- a/damsonstream/console/follow.py
+++ b/damsonstream/console/follow.py
@@ -35,13 +35,13 @@
         for path, follower in self.followers.items():
             found = follower.poll()
             if found and path not in self.names:
-                names = {folder: name for name, folder in store.gateways(self.folder).items()}
+                names = {folder: name for name, folder in store.gateway_folders(self.folder).items()}
                 self.names[path] = names.get(path, path.name)
             for entry in found:
                 self.history.feed(self.names[path], entry)
             if found:
                 self.last_growth[self.names[path]] = self.clock()
-            more |= follower.behind
+            more |= follower.more_available
         return more
 
     def silent(self) -> dict[str, float]:
--- a/damsonstream/console/history.py
+++ b/damsonstream/console/history.py
@@ -16,9 +16,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from damsonstream.incident.clocks import Clocks, Sighting, Told, align
-from damsonstream.incident.rates import Rates
-from damsonstream.incident.words import line, plain
+from damsonstream.incident.clocks import Clocks, Observation, BootTimes, align
+from damsonstream.incident.rates import TimeBuckets
+from damsonstream.incident.words import describe_record, plain
 from damsonstream.records import model
 from damsonstream.records.store import Item, Problem
 
@@ -64,7 +64,7 @@
 
     name: str
     boots: list[Boot] = field(default_factory=list)
-    rates: Rates = field(default_factory=lambda: Rates(S))
+    rates: TimeBuckets = field(default_factory=lambda: TimeBuckets(S))
     breakers: dict[str, list[tuple[int, str]]] = field(default_factory=dict)  # by node: time, state
     # Open GETs by number: arrival time, delivery service.
     open: dict[int, tuple[int, str]] = field(default_factory=dict)
@@ -182,7 +182,7 @@
         self.roles: dict[str, str] = {}
         self.listed: dict[str, list[tuple[str, int, str]]] = {}  # by node: gateway, time, state
         self.events: deque[Event] = deque(maxlen=MAX_EVENTS)
-        self.sightings: deque[Sighting] = deque(maxlen=MAX_SIGHTINGS)
+        self.sightings: deque[Observation] = deque(maxlen=MAX_SIGHTINGS)
         self.last_purges: dict[str, Event] = {}  # by gateway
         # The alignment of the clocks, and whether there is new evidence since it was computed.
         self.clocks, self.realign = Clocks(), False
@@ -285,13 +285,13 @@
                 self.store_list(name, record)
                 if record.number and not record.whole:
                     lines = tuple(sorted((one.cache, one.state, one.since) for one in record.lines))
-                    self.add_sighting(Sighting((name, boot.number), ("list", lines), record.at))
+                    self.add_sighting(Observation((name, boot.number), ("list", lines), record.at))
                 node = record.lines[0].cache if len(record.lines) == 1 else ""
             case model.Purge():
                 if not record.number:
                     return
                 event = ("purge", record.thing, record.group, record.issued)
-                self.add_sighting(Sighting((name, boot.number), event, record.at))
+                self.add_sighting(Observation((name, boot.number), event, record.at))
                 last = self.last_purges.get(name)
                 if (
                     last is not None
@@ -304,11 +304,11 @@
             case model.Dropped():
                 boot.gaps += record.count
         kind = type(record).__name__.lower()
-        self.add_event(record.at, name, boot.number, kind, line(record), node)
+        self.add_event(record.at, name, boot.number, kind, describe_record(record), node)
         if kind == "purge":
             self.last_purges[name] = self.events[-1]
 
-    def add_sighting(self, one: Sighting) -> None:
+    def add_sighting(self, one: Observation) -> None:
         """Stores an event that other gateways may have recorded too, to align the clocks."""
         self.sightings.append(one)
         self.realign = True
@@ -327,7 +327,7 @@
         """Returns the alignment of the clocks, which is recomputed if there is new evidence."""
         if self.realign:
             boots = [
-                Told((g.name, b.number), b.first, b.last) for g in self.gateways.values() for b in g.boots
+                BootTimes((g.name, b.number), b.first, b.last) for g in self.gateways.values() for b in g.boots
             ]
             self.clocks, self.realign = align(list(self.sightings), boots), False
         return self.clocks
--- a/damsonstream/demo/verdict.py
+++ b/damsonstream/demo/verdict.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from damsonstream.demo.check import Recorded
-from damsonstream.incident.accounting import Get, Ledger, Leg, Stray
+from damsonstream.incident.accounting import Get, GetLedger, Forward, StrayRecord
 from damsonstream.records import model, store
 
 
@@ -32,7 +32,7 @@
     def sent(self, get: Get, sent: model.Sent) -> None:
         pass
 
-    def came(self, get: Get, leg: Leg) -> None:
+    def came(self, get: Get, leg: Forward) -> None:
         pass
 
     def answered(self, get: Get) -> None:
@@ -42,7 +42,7 @@
     def over(self, get: Get, verdict: str) -> None:
         self.entry_for(get.gateway, get.taken.ident).verdict = verdict
 
-    def stray(self, gateway: str, boot: int, record: Stray) -> None:
+    def stray(self, gateway: str, boot: int, record: StrayRecord) -> None:
         ident = self.idents.get((gateway, boot, record.get), f"number {record.get}")
         if isinstance(record, model.Answered):
             self.entry_for(gateway, ident).answers.append(record.outcome)
@@ -50,8 +50,8 @@
 
 def recorded(folder: Path) -> dict[str, Recorded]:
     listener = RecordedGets()
-    for name, path in store.gateways(folder).items():
-        ledger = Ledger(name, listener)
+    for name, path in store.gateway_folders(folder).items():
+        ledger = GetLedger(name, listener)
         for entry in store.Reader(path).read():
             ledger.feed(entry)
         ledger.close(running=False)
--- a/damsonstream/incident/accounting.py
+++ b/damsonstream/incident/accounting.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Leg:
+class Forward:
     """A forward of a GET: the record of its start and, once it has ended, of its end."""
 
     number: int
@@ -50,7 +50,7 @@
     boot: int
     taken: model.Taken
     service: model.Service | None
-    forwards: dict[int, Leg] = field(default_factory=dict)
+    forwards: dict[int, Forward] = field(default_factory=dict)
     answered: model.Answered | None = None
     left_at: int = 0  # when the client closed its connection, 0: it did not
     history: list[model.AnyRecord] = field(default_factory=list)  # its records, oldest first
@@ -61,7 +61,7 @@
         return any(leg.came is None for leg in self.forwards.values())
 
 
-Stray = model.Taken | model.Answered | model.Sent  # a record that belongs to no GET in progress
+StrayRecord = model.Taken | model.Answered | model.Sent  # a record that belongs to no GET in progress
 
 
 class Listener(Protocol):
@@ -72,10 +72,10 @@
 
     def record(self, gateway: str, boot: int, record: model.AnyRecord) -> None: ...
     def sent(self, get: Get, sent: model.Sent) -> None: ...
-    def came(self, get: Get, leg: Leg) -> None: ...
+    def came(self, get: Get, leg: Forward) -> None: ...
     def answered(self, get: Get) -> None: ...
     def over(self, get: Get, verdict: str) -> None: ...
-    def stray(self, gateway: str, boot: int, record: Stray) -> None: ...
+    def stray(self, gateway: str, boot: int, record: StrayRecord) -> None: ...
 
 
 @dataclass(slots=True)
@@ -99,7 +99,7 @@
         return self.gateway, self.number
 
 
-class Ledger:
+class GetLedger:
     """Follows the GETs of one gateway through its records and counts verdicts by boot."""
 
     def __init__(self, gateway: str, listener: Listener) -> None:
@@ -126,7 +126,7 @@
         boot.records += 1
         if isinstance(record, model.Sent):
             if get := self.open_gets.get(record.get):
-                get.forwards[record.leg] = Leg(record.leg, record)
+                get.forwards[record.leg] = Forward(record.leg, record)
                 self.add_to_history(get, record)
                 self.listener.sent(get, record)
             elif self.state(record.get) in (ANSWERED, TWICE, LEFT):
--- a/damsonstream/incident/clocks.py
+++ b/damsonstream/incident/clocks.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Sighting:
+class Observation:
     """An observation of a common event by one boot."""
 
     boot: Boot
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class BootTimes:
     """Start and end of a boot on its own clock, and the sum of its system clock's steps while it ran."""
 
     boot: Boot
@@ -94,7 +94,7 @@
         return "before" if difference > 0 else "after"
 
 
-def shared_events(observations: Iterable[Sighting]) -> dict[Hashable, dict[Boot, int]]:
+def shared_events(observations: Iterable[Observation]) -> dict[Hashable, dict[Boot, int]]:
     """Returns the times at which boots observed each event that at least two of them observed.
 
     An event that a boot observed twice is left out, because it can't be matched unambiguously.
@@ -145,7 +145,7 @@
     return (kept[-1] - kept[0]) / 2 if kept else 0.0
 
 
-def align(observations: Iterable[Sighting], boots: Iterable[Told]) -> Clocks:
+def align(observations: Iterable[Observation], boots: Iterable[BootTimes]) -> Clocks:
     """Fits the clock of each boot from its common events, an adjacent boot, or as its own clock."""
     times = {one.boot: one for one in boots}
     events = shared_events(observations)
@@ -205,7 +205,7 @@
     return fits
 
 
-def center_on_median(clocks: Clocks, times: Mapping[Boot, Told]) -> None:
+def center_on_median(clocks: Clocks, times: Mapping[Boot, BootTimes]) -> None:
     """Sets fleet time to the median of the gateways' latest clocks, which one wrong clock shifts least."""
     if not clocks.fits:
         return
@@ -217,7 +217,7 @@
         )
 
 
-def inherit_offsets(clocks: Clocks, times: Mapping[Boot, Told]) -> None:
+def inherit_offsets(clocks: Clocks, times: Mapping[Boot, BootTimes]) -> None:
     """Gives a boot without common events its gateway's nearest fitted clock, corrected for steps."""
     for boot in sorted(times):
         if boot in clocks.fits:
--- a/damsonstream/incident/gather.py
+++ b/damsonstream/incident/gather.py
@@ -20,13 +20,13 @@
     VIOLATIONS,
     Boot,
     Get,
-    Ledger,
-    Leg,
-    Stray,
+    GetLedger,
+    Forward,
+    StrayRecord,
     total_verdicts,
 )
-from damsonstream.incident.clocks import Clocks, Sighting, Told, align, find_steps
-from damsonstream.incident.phases import Phase, Watch
+from damsonstream.incident.clocks import Clocks, Observation, BootTimes, align, find_steps
+from damsonstream.incident.phases import Phase, PhaseDetector
 from damsonstream.incident.rules import Finding, RuleChecker
 from damsonstream.incident.words import describe_step
 from damsonstream.records import model, store
@@ -65,11 +65,11 @@
     boots: list[Boot]
     phases: list[Phase]
     rules: list[Finding]
-    watch: Watch
+    detector: PhaseDetector
     stories: list[Story]
     problems: list[tuple[str, Problem]]
     problem_count: int
-    steps: list[tuple[str, int, int, int]]  # steps of system clocks: gateway, boot, time, size
+    clock_steps: list[tuple[str, int, int, int]]  # steps of system clocks: gateway, boot, time, size
     records: int
     bytes: int
     seconds: float  # duration of the analysis
@@ -86,7 +86,7 @@
         return reasons
 
     @property
-    def accounted(self) -> bool:
+    def complete(self) -> bool:
         """Whether the accounting is complete: each GET has one answer or a valid reason for having none."""
         return not any(self.verdicts[verdict] for verdict in VIOLATIONS)
 
@@ -148,7 +148,7 @@
 class ListenerGroup:
     """Passes events on to several listeners."""
 
-    def __init__(self, phases: Watch, rules: RuleChecker, stories: StorySelector) -> None:
+    def __init__(self, phases: PhaseDetector, rules: RuleChecker, stories: StorySelector) -> None:
         self.phases, self.rules, self.stories = phases, rules, stories
 
     def record(self, gateway: str, boot: int, record: model.AnyRecord) -> None:
@@ -159,7 +159,7 @@
         self.phases.sent(get, sent)
         self.rules.sent(get, sent)
 
-    def came(self, get: Get, leg: Leg) -> None:
+    def came(self, get: Get, leg: Forward) -> None:
         self.phases.came(get, leg)
         self.rules.came(get, leg)
 
@@ -172,20 +172,20 @@
         self.rules.over(get, verdict)
         self.stories.over(get, verdict)
 
-    def stray(self, gateway: str, boot: int, record: Stray) -> None:
+    def stray(self, gateway: str, boot: int, record: StrayRecord) -> None:
         self.rules.stray(gateway, boot, record)
 
 
 def clock_evidence(
     gateway: str, entries: Iterable[Item | Problem]
-) -> Iterator[Sighting | Told | tuple[str, int, int, int]]:
+) -> Iterator[Observation | BootTimes | tuple[str, int, int, int]]:
     """Yields one gateway's observations of common events, its boots, and the steps of its system clock."""
     boot, first, last = -1, 0, 0
     pulses: list[tuple[int, int]] = []
 
-    def finish_boot() -> Iterator[Told | tuple[str, int, int, int]]:
+    def finish_boot() -> Iterator[BootTimes | tuple[str, int, int, int]]:
         clock_steps = find_steps(pulses)
-        yield Told((gateway, boot), first, last, sum(size for _, size in clock_steps))
+        yield BootTimes((gateway, boot), first, last, sum(size for _, size in clock_steps))
         for at, size in clock_steps:
             yield (gateway, boot, at, size)
 
@@ -199,10 +199,10 @@
         record = entry.record
         first, last = first or record.at, max(last, record.at)
         if isinstance(record, model.Purge) and record.number:
-            yield Sighting((gateway, boot), ("purge", record.thing, record.group, record.issued), record.at)
+            yield Observation((gateway, boot), ("purge", record.thing, record.group, record.issued), record.at)
         elif isinstance(record, model.Listed) and record.number and not record.whole:
             lines = tuple(sorted((line.cache, line.state, line.since) for line in record.lines))
-            yield Sighting((gateway, boot), ("list", lines), record.at)
+            yield Observation((gateway, boot), ("list", lines), record.at)
         elif isinstance(record, model.Pulse | model.Began):
             pulses.append((record.at, record.unix))
     if boot >= 0:
@@ -211,14 +211,14 @@
 
 def align_clocks(folders: dict[str, Path]) -> tuple[Clocks, list[tuple[str, int, int, int]]]:
     """Reads the clock evidence of all gateways; returns the clocks and the steps of system clocks."""
-    observed: list[Sighting] = []
-    boots: list[Told] = []
+    observed: list[Observation] = []
+    boots: list[BootTimes] = []
     clock_steps: list[tuple[str, int, int, int]] = []
     for name, folder in folders.items():
         for found in clock_evidence(name, store.Reader(folder).read(CLOCK_KINDS)):
-            if isinstance(found, Sighting):
+            if isinstance(found, Observation):
                 observed.append(found)
-            elif isinstance(found, Told):
+            elif isinstance(found, BootTimes):
                 boots.append(found)
             else:
                 clock_steps.append(found)
@@ -228,24 +228,24 @@
 MAX_PROBLEMS = 200
 
 
-def gather(folder: Path, names: Iterable[str] = (), running: bool = False) -> Incident:
+def analyze(folder: Path, names: Iterable[str] = (), running: bool = False) -> Incident:
     """Analyzes the records in a folder, of all gateways or only of those in `names`.
 
     `running`: the gateways may still be writing, so GETs in progress at the end do not count as lost.
     """
     started = time.monotonic()
-    folders = store.gateways(folder)
+    folders = store.gateway_folders(folder)
     wanted = list(names)
     if wanted:
         folders = {name: path for name, path in folders.items() if name in wanted}
     clocks, clock_steps = align_clocks(folders)
-    detector, checker, selector = Watch(clocks), RuleChecker(clocks), StorySelector(clocks)
+    detector, checker, selector = PhaseDetector(clocks), RuleChecker(clocks), StorySelector(clocks)
     listener = ListenerGroup(detector, checker, selector)
     boots: list[Boot] = []
     problems: list[tuple[str, Problem]] = []
     count = size = problem_count = 0
     for name, path in folders.items():
-        reader, ledger = store.Reader(path), Ledger(name, listener)
+        reader, ledger = store.Reader(path), GetLedger(name, listener)
         for entry in reader.read():
             if isinstance(entry, Problem):
                 problem_count += 1
@@ -256,15 +256,15 @@
             ledger.feed(entry)
         ledger.close(running)
         boots += ledger.boots
-        size += reader.bytes
+        size += reader.bytes_read
     phases, findings, stories = detector.phases(boots), checker.findings(), selector.selected()
     return Incident(folder, list(folders), clocks, boots, phases, findings, detector, stories, problems,
                     problem_count, clock_steps, count, size, time.monotonic() - started)  # fmt: skip
 
 
-def merged(folder: Path, names: Iterable[str] = ()) -> Iterator[tuple[int, str, Item]]:
+def merge_records(folder: Path, names: Iterable[str] = ()) -> Iterator[tuple[int, str, Item]]:
     """Yields all records ordered by fleet time, in bounded memory; the order within a gateway is kept."""
-    folders = store.gateways(folder)
+    folders = store.gateway_folders(folder)
     wanted = set(names) or set(folders)
     clocks, _ = align_clocks(folders)
 
@@ -284,7 +284,7 @@
 def summary(incident: Incident) -> dict[str, Any]:
     """Returns the result as plain data for `report --format json`: times in Unix seconds, durations in ms."""
     start, end = incident.span
-    detector = incident.watch
+    detector = incident.detector
 
     def seconds(at: int) -> float:
         return round(at / 10_000, 4)
@@ -303,7 +303,7 @@
         },
         "accounting": {
             "gets": sum(incident.verdicts.values()) + sum(incident.turned.values()),
-            "complete": incident.accounted,
+            "complete": incident.complete,
             "verdicts": dict(sorted(incident.verdicts.items())),
             "turned": dict(sorted(incident.turned.items())),
         },
@@ -370,7 +370,7 @@
         },
         "system_clocks_moved": [
             {"gateway": name, "boot": boot, "at": seconds(at), "ms": size / 10}
-            for name, boot, at, size in incident.steps
+            for name, boot, at, size in incident.clock_steps
         ],
         "problems": [
             {"gateway": name, "kind": p.kind, "boot": p.boot, "segment": p.segment, "at": p.at,
--- a/damsonstream/incident/phases.py
+++ b/damsonstream/incident/phases.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from damsonstream.incident.accounting import Boot, Get, Leg, Stray
+from damsonstream.incident.accounting import Boot, Get, Forward, StrayRecord
 from damsonstream.incident.clocks import Clocks
-from damsonstream.incident.rates import Latencies, Rates
+from damsonstream.incident.rates import Latencies, TimeBuckets
 from damsonstream.records import model
 
 MS, S = 10, 10_000
@@ -163,7 +163,7 @@
     record: model.Breaker
 
 
-class Watch:
+class PhaseDetector:
     """Collects events of all gateways and derives phases.
 
     Memory grows with the time span and the number of nodes, not with the number of GETs.
@@ -171,13 +171,13 @@
 
     def __init__(self, clocks: Clocks, width: int = S // 2) -> None:
         self.clocks = clocks
-        self.rates = Rates(width)
+        self.rates = TimeBuckets(width)
         # time from accepting a GET to returning its answer, by delivery service; first bytes, by source
-        self.latencies, self.sources = Latencies(), Latencies()
+        self.latencies, self.source_latencies = Latencies(), Latencies()
         # by gateway and node
         self.first_bytes: dict[tuple[str, str], SlowFillDetector] = defaultdict(SlowFillDetector)
         self.forward_results: dict[tuple[str, str], TroubleDetector] = defaultdict(TroubleDetector)
-        self.turns: list[BreakerChange] = []
+        self.breaker_changes: list[BreakerChange] = []
         self.purges: list[tuple[int, str, model.Purge]] = []  # received (fleet time), gateway
         self.cache_changes: list[tuple[int, str, str, str]] = []  # time, gateway, node, state
         self.roles: dict[str, str] = {}  # by node: parent, origin or cache
@@ -203,7 +203,7 @@
             return
         at = self.fleet_time(gateway, boot, record.at)
         if isinstance(record, model.Breaker):
-            self.turns.append(BreakerChange(at, gateway, boot, record))
+            self.breaker_changes.append(BreakerChange(at, gateway, boot, record))
         elif isinstance(record, model.Peers):
             self.peer_views.append((at, gateway, boot, record))
         elif isinstance(record, model.Zones):
@@ -251,7 +251,7 @@
     def sent(self, get: Get, sent: model.Sent) -> None:
         self.rates.add(self.fleet_time(get.gateway, get.boot, sent.at), ("forward", ""))
 
-    def came(self, get: Get, leg: Leg) -> None:
+    def came(self, get: Get, leg: Forward) -> None:
         came, sent = leg.came, leg.sent
         assert came is not None
         at = self.fleet_time(get.gateway, get.boot, sent.at)
@@ -259,7 +259,7 @@
         if came.note in (FILLED, VIA_ORIGIN) and came.first_byte > 0 and is_fill:
             source = self.origin if came.note == VIA_ORIGIN and self.origin else sent.source
             self.first_bytes[get.gateway, source].add(at, came.first_byte)
-            self.sources.add(at, source, came.first_byte)
+            self.source_latencies.add(at, source, came.first_byte)
         if came.result in ("recalled", "unsent"):
             return
         if came.note == ORIGIN_FAILED:
@@ -304,7 +304,7 @@
             self.rates.add(at, ("left", get.service.name))
             self.rates.add(at, ("due", get.service.name), get.service.revenue)
 
-    def stray(self, gateway: str, boot: int, record: Stray) -> None:
+    def stray(self, gateway: str, boot: int, record: StrayRecord) -> None:
         pass  # reported by the rules
 
     # results
@@ -470,7 +470,7 @@
         ends = {boot.gateway_boot: self.fleet_time(boot.gateway, boot.number, boot.last) for boot in boots}
         spans: dict[tuple[str, str], list[tuple[str, TroubleSpan]]] = defaultdict(list)
         by_gateway: dict[tuple[str, int, str], list[BreakerChange]] = defaultdict(list)
-        for change in self.turns:
+        for change in self.breaker_changes:
             by_gateway[change.gateway, change.boot, change.record.node].append(change)
         reasons: dict[tuple[str, str], list[str]] = defaultdict(list)
         for (gateway, boot, node), changes in by_gateway.items():
--- a/damsonstream/incident/rates.py
+++ b/damsonstream/incident/rates.py
@@ -17,7 +17,7 @@
 MAX_BUCKETS = 4096  # more than a chart shows; beyond it the bucket width doubles
 
 
-class Rates:
+class TimeBuckets:
     """Sums by time bucket and key."""
 
     def __init__(self, width: int = S // 2) -> None:
@@ -78,21 +78,21 @@
     """Latency distributions by key, over the whole span and by time bucket."""
 
     def __init__(self) -> None:
-        self.whole: dict[str, HdrHistogram] = {}
-        self.counts = Rates()
+        self.histograms: dict[str, HdrHistogram] = {}
+        self.counts = TimeBuckets()
 
     def add(self, at: int, service: str, duration: int) -> None:
-        if service not in self.whole:
-            self.whole[service] = HdrHistogram(1, 3600 * S, 3)
+        if service not in self.histograms:
+            self.histograms[service] = HdrHistogram(1, 3600 * S, 3)
         duration = max(1, duration)
-        self.whole[service].record_value(min(duration, 3600 * S - 1))
+        self.histograms[service].record_value(min(duration, 3600 * S - 1))
         self.counts.add(at, (service, int(log(duration) / LOG_BUCKET_STEP)))
 
     def percentiles(
         self, service: str, percentiles: tuple[float, ...] = (50, 95, 99, 99.9)
     ) -> dict[str, float]:
         """Returns percentiles of the whole span in ms, by name: p50, p95, p99, p99.9."""
-        histogram = self.whole.get(service)
+        histogram = self.histograms.get(service)
         if histogram is None:
             return {}
         return {f"p{share:g}": histogram.get_value_at_percentile(share) / MS for share in percentiles}
--- a/damsonstream/incident/rules.py
+++ b/damsonstream/incident/rules.py
@@ -10,7 +10,7 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from damsonstream.incident.accounting import TIMEOUT_TOLERANCE, VIOLATIONS, Get, Leg, Stray
+from damsonstream.incident.accounting import TIMEOUT_TOLERANCE, VIOLATIONS, Get, Forward, StrayRecord
 from damsonstream.incident.clocks import Clocks
 from damsonstream.records import model
 
@@ -179,7 +179,7 @@
             finding.untold += 1
             finding.why = "records do not show which caches share a cell"
 
-    def came(self, get: Get, leg: Leg) -> None:
+    def came(self, get: Get, leg: Forward) -> None:
         assert leg.came is not None
         came, sent = leg.came, leg.sent
         known = self.boot_view(get.gateway, get.boot)
@@ -193,7 +193,7 @@
         if came.result == "returned":
             self.check_purges(get, leg, known)
 
-    def check_purges(self, get: Get, leg: Leg, known: BootView) -> None:
+    def check_purges(self, get: Get, leg: Forward, known: BootView) -> None:
         """Checks rule 5: a forward sent after a purge must not return a copy older than the purge."""
         assert leg.came is not None
         keys: tuple[str | int, ...] = (get.taken.thing, get.taken.group)
@@ -241,7 +241,7 @@
             finding.untold += 1
             finding.why = "answers were lost in a crash or in a gap of the records"
 
-    def stray(self, gateway: str, boot: int, record: Stray) -> None:
+    def stray(self, gateway: str, boot: int, record: StrayRecord) -> None:
         self.finding(1).cases += 1
         what = "taken twice"
         if isinstance(record, model.Sent):
--- a/damsonstream/incident/words.py
+++ b/damsonstream/incident/words.py
@@ -56,7 +56,7 @@
     return f"{zone} {state}{returning}" + (f" (lost again {flaps} times)" if flaps else "")
 
 
-def line(record: model.AnyRecord) -> str:
+def describe_record(record: model.AnyRecord) -> str:
     """Describes any record in one printable line."""
     match record:
         case model.Taken() | model.Sent() | model.Came() | model.Answered() | model.Left():
--- a/damsonstream/program/commands/demo.py
+++ b/damsonstream/program/commands/demo.py
@@ -111,7 +111,7 @@
     scenario: scenarios.Scenario, records: Path, truth: Truth, report: Path, json_file: Path | None
 ) -> int:
     """Prints the summary, writes the report and returns the exit code."""
-    incident = reading.gather(records)
+    incident = reading.analyze(records)
     summary = reading.summary(incident)
     differences = check(summary, recorded(records), truth)
     click.echo(f"\nviewers: {', '.join(f'{count} {name}' for name, count in sorted(truth.count().items()))}")
--- a/damsonstream/program/commands/records.py
+++ b/damsonstream/program/commands/records.py
@@ -13,8 +13,8 @@
 import click
 import msgspec
 
-from damsonstream.incident.gather import merged
-from damsonstream.incident.words import line, plain
+from damsonstream.incident.gather import merge_records
+from damsonstream.incident.words import describe_record, plain
 from damsonstream.records import model, store
 from damsonstream.records.store import Item, Problem
 
@@ -34,7 +34,7 @@
 
 def selected(folder: Path, gateways: tuple[str, ...]) -> dict[str, Path]:
     """Returns the folders of the named gateways, or of all; raises UsageError if one has no records."""
-    found = store.gateways(folder)
+    found = store.gateway_folders(folder)
     if unknown := [name for name in gateways if name not in found]:
         raise click.UsageError(
             f"{folder} contains no records of {', '.join(unknown)}; available: {', '.join(found) or '-'}"
@@ -69,9 +69,9 @@
             {
                 "gateway": name,
                 "boots": len(boots),
-                "segments": len(store.files(path)),
+                "segments": len(store.segment_files(path)),
                 "records": count,
-                "bytes": reader.bytes,
+                "bytes": reader.bytes_read,
                 "dropped": dropped,
                 "problems": [asdict(problem) for problem in problems],
             }
@@ -167,7 +167,7 @@
 
 def filtered(folder: Path, gateways: tuple[str, ...], criteria: Filter) -> Iterator[tuple[int, str, Item]]:
     names = selected(folder, gateways)
-    return (entry for entry in merged(folder, names) if criteria.matches(*entry))
+    return (entry for entry in merge_records(folder, names) if criteria.matches(*entry))
 
 
 @records.command()
@@ -209,7 +209,7 @@
         if as_json:
             click.echo(json.dumps(plain_data(at, name, item)))
         else:
-            click.echo(f"{clock(at)} {plain(name, 16)}/{item.boot} {line(item.record)}")
+            click.echo(f"{clock(at)} {plain(name, 16)}/{item.boot} {describe_record(item.record)}")
         if limit and count >= limit:
             break
     return 0 if count else 1
@@ -223,7 +223,7 @@
 )
 def merge(folder: Path, gateways: tuple[str, ...], output: Any) -> int:
     """Write all records in fleet time, as JSON lines. The records of one gateway stay in their order."""
-    for at, name, item in merged(folder, selected(folder, gateways)):
+    for at, name, item in merge_records(folder, selected(folder, gateways)):
         output.write(json.dumps(plain_data(at, name, item)) + "\n")
     return 0
 
@@ -245,8 +245,8 @@
         count = kinds.total()
         totals[name] = {
             "records": count,
-            "bytes": reader.bytes,
-            "bytes_each": round(reader.bytes / count, 1) if count else 0.0,
+            "bytes": reader.bytes_read,
+            "bytes_each": round(reader.bytes_read / count, 1) if count else 0.0,
             "seconds": round((last - first) / S, 1),
             "kinds": dict(kinds.most_common()),
         }
--- a/damsonstream/program/commands/report.py
+++ b/damsonstream/program/commands/report.py
@@ -55,7 +55,7 @@
 
     Exit code 0 if every GET is accounted for and no rule is proved broken, else 1; 2 if there are no records.
     """
-    incident = reading.gather(records, gateways, live)
+    incident = reading.analyze(records, gateways, live)
     if not incident.boots:
         click.echo(f"{records} contains no records{' of these gateways' if gateways else ''}.", err=True)
         return 2
@@ -70,4 +70,4 @@
             return 2
         click.echo(f"{output}: {incident.records} records of {len(incident.names)} gateways, "
                    f"{len(incident.phases)} phases, read in {incident.seconds:.1f} s", err=True)  # fmt: skip
-    return 0 if incident.accounted and not any(rule.broken for rule in incident.rules) else 1
+    return 0 if incident.complete and not any(rule.broken for rule in incident.rules) else 1
--- a/damsonstream/program/recording.py
+++ b/damsonstream/program/recording.py
@@ -12,7 +12,7 @@
 
 from damsonstream import __version__
 from damsonstream.program.config import Config
-from damsonstream.records.recorder import NS, Recorder, moved
+from damsonstream.records.recorder import NS_PER_TICK, Recorder, skewed
 from damsonstream.records.writer import Writer
 from damsonstream.settings.operator import Operator
 
@@ -28,9 +28,9 @@
     except OSError as error:
         log.error("records", extra={"outcome": "off", "folder": str(settings.folder), "what": str(error)})
         return None
-    start = time.time_ns() // NS
+    start = time.time_ns() // NS_PER_TICK
     recorder = Recorder(
-        writer, moved(settings.shift, settings.drift, start) if settings.shift or settings.drift else None
+        writer, skewed(settings.shift, settings.drift, start) if settings.shift or settings.drift else None
     )
     recorder.began(start, config.name, __version__, config.footprint, config.drain_grace, config.purge_grace)
     writer.start()
--- a/damsonstream/program/serve.py
+++ b/damsonstream/program/serve.py
@@ -123,7 +123,7 @@
             if self.hierarchy is not None:
                 self.hierarchy.update_list(event)
         if self.recorder is not None:
-            self.recorder.news(self.gateway.clock.now(), number, event)
+            self.recorder.bulletin_event(self.gateway.clock.now(), number, event)
         self.gateway.apply_bulletin(event)
 
     def open_get(self, request: fastcgi.Request, send_answer: Answer) -> life.Get | None:
--- a/damsonstream/records/recorder.py
+++ b/damsonstream/records/recorder.py
@@ -19,7 +19,7 @@
 from damsonstream.routing import interface as i
 
 log = logging.getLogger(__name__)
-NS = 100_000  # a tick is a tenth of a millisecond
+NS_PER_TICK = 100_000  # a tick is a tenth of a millisecond
 TICKS_PER_MS = 10
 MAX_LINES_PER_RECORD = 256  # caches in one record: about 20 KB, below the payload limit of a frame
 
@@ -91,7 +91,7 @@
             for s in footprint.services
         ]  # fmt: skip
         self.write(model.Began(self.record_time(now), self.writer.boot, name, version,
-                               self.record_time(time.time_ns() // NS), footprint.location, services,
+                               self.record_time(time.time_ns() // NS_PER_TICK), footprint.location, services,
                                footprint.parent_model, footprint.origin_model, drain_grace, purge_grace,
                                footprint.client_kb_per_s))  # fmt: skip
 
@@ -101,7 +101,7 @@
     def turned(self, now: int, ident: bytes, outcome: str, reason: str) -> None:
         self.write(model.Turned(self.record_time(now), ident[:32].decode("latin-1"), outcome, reason))
 
-    def news(self, now: int, number: int, event: bulletin.Event) -> None:
+    def bulletin_event(self, now: int, number: int, event: bulletin.Event) -> None:
         at = self.record_time(now)
         if isinstance(event, bulletin.PurgeTold):
             self.write(model.Purge(at, number, event.thing, event.group, event.issued_ms * TICKS_PER_MS))
@@ -122,7 +122,7 @@
     def pulse(self, now: int, open_gets: int) -> None:
         usage = resource.getrusage(resource.RUSAGE_SELF)
         cpu = int((usage.ru_utime + usage.ru_stime) * 1000)
-        unix = self.record_time(time.time_ns() // NS)
+        unix = self.record_time(time.time_ns() // NS_PER_TICK)
         self.write(model.Pulse(self.record_time(now), unix, open_gets, cpu, usage.ru_maxrss))
 
     def peers(
@@ -149,6 +149,6 @@
         return {"records.written": self.writer.written_total, "records.dropped": self.writer.dropped_total}
 
 
-def moved(seconds: float, drift: float, start: int) -> Callable[[int], int]:
+def skewed(seconds: float, drift: float, start: int) -> Callable[[int], int]:
     """Returns a clock function with an offset of `seconds` that drifts by `drift` seconds per second."""
     return lambda now: now + int(seconds * 10_000 + drift * (now - start))
--- a/damsonstream/records/segment.py
+++ b/damsonstream/records/segment.py
@@ -47,7 +47,7 @@
     version: int = VERSION
 
 
-class Whole(msgspec.Struct, frozen=True, gc=False):
+class Frame(msgspec.Struct, frozen=True, gc=False):
     """An intact frame. One is made per record: msgspec does so five times as fast as a frozen dataclass."""
 
     seq: int
@@ -77,7 +77,7 @@
     return framed + CHECKSUM.pack(crc32(framed))
 
 
-def read_head(data: bytes | memoryview) -> SegmentHeader:
+def decode_header(data: bytes | memoryview) -> SegmentHeader:
     """Decodes the header of a segment; raises `InvalidSegment`."""
     if len(data) < HEADER.size:
         raise InvalidSegment("torn-head")
@@ -93,7 +93,7 @@
     return SegmentHeader(name, boot, segment, first_seq, created_ms, end + CHECKSUM.size, version)
 
 
-def scan(data: bytes, offset: int) -> Iterator[Whole | DamagedBytes]:
+def scan(data: bytes, offset: int) -> Iterator[Frame | DamagedBytes]:
     """Yields the frames from `offset` on.
 
     Bytes count as a frame only if their checksum matches; otherwise the scan continues at the next marker
@@ -114,7 +114,7 @@
                 if damage_start >= 0:
                     yield DamagedBytes(damage_start, offset - damage_start, "flipped")
                     damage_start = -1
-                yield Whole(seq, view[offset + FRAME_HEADER.size : payload_end], after)
+                yield Frame(seq, view[offset + FRAME_HEADER.size : payload_end], after)
                 offset = after
                 continue
         damage_start = offset if damage_start < 0 else damage_start
--- a/damsonstream/records/store.py
+++ b/damsonstream/records/store.py
@@ -57,7 +57,7 @@
     size: int
 
 
-def files(folder: Path) -> list[SegmentFile]:
+def segment_files(folder: Path) -> list[SegmentFile]:
     """Returns the segment files of one gateway, ordered by boot and segment number."""
     segments = []
     try:
@@ -73,19 +73,19 @@
     return sorted(segments, key=lambda file: (file.boot, file.segment))
 
 
-def gateways(folder: Path) -> dict[str, Path]:
+def gateway_folders(folder: Path) -> dict[str, Path]:
     """Returns the folder of each gateway by its name, which is read from the segment headers."""
     folders = {}
     for path in sorted(path for path in folder.iterdir() if path.is_dir()):
         name = ""
-        for file in files(path):
+        for file in segment_files(path):
             try:
                 with file.path.open("rb") as stream:
-                    name = segment.read_head(stream.read(1 << 17)).name
+                    name = segment.decode_header(stream.read(1 << 17)).name
                 break
             except (segment.InvalidSegment, OSError):
                 continue
-        if name or files(path):
+        if name or segment_files(path):
             folders[name or path.name] = path
     return folders
 
@@ -116,11 +116,11 @@
 
     def __init__(self, folder: Path, max_file_bytes: int = MAX_FILE_BYTES) -> None:
         self.folder, self.max_file_bytes = folder, max_file_bytes
-        self.bytes = 0  # read so far
+        self.bytes_read = 0  # read so far
 
     def read(self, kinds: frozenset[int] = frozenset()) -> Iterator[Item | Problem]:
         """Yields records and problems in order; `kinds` (from `kind_tags`) limits what is decoded."""
-        segments, sequence = files(self.folder), SequenceChecker()
+        segments, sequence = segment_files(self.folder), SequenceChecker()
         previous: SegmentFile | None = None
         for file in segments:
             if previous and file.boot == previous.boot and file.segment != previous.segment + 1:
@@ -143,12 +143,12 @@
         except OSError as error:
             yield Problem("missing", *segment_id, 0, -1, error.strerror or "")
             return
-        self.bytes += len(data)
+        self.bytes_read += len(data)
         if len(data) > self.max_file_bytes:
             yield Problem("no-segment", *segment_id, 0, -1, f"over {self.max_file_bytes} bytes")
             return
         try:
-            header = segment.read_head(data)
+            header = segment.decode_header(data)
         except segment.InvalidSegment as error:
             if newest and str(error) == "torn-head":
                 return  # just created, or cut off before the first record
@@ -223,16 +223,16 @@
         self.folder = folder
         self.position: tuple[int, int, int] = (0, 0, 0)  # boot, segment, offset in bytes
         self.sequence = SequenceChecker()
-        self.behind = False  # whether the last call stopped at MAX_POLL_BYTES
+        self.more_available = False  # whether the last call stopped at MAX_POLL_BYTES
 
     def poll(self) -> list[Item | Problem]:
         entries: list[Item | Problem] = []
-        budget, self.behind = self.MAX_POLL_BYTES, False
-        segments = files(self.folder)
+        budget, self.more_available = self.MAX_POLL_BYTES, False
+        segments = segment_files(self.folder)
         for file in segments:
             boot, number, offset = self.position
             if (file.boot, file.segment) < (boot, number) or budget <= 0:
-                self.behind |= budget <= 0
+                self.more_available |= budget <= 0
                 continue
             if (file.boot, file.segment) > (boot, number):
                 if file.boot == boot and file.segment != number + 1 and number:
@@ -263,7 +263,7 @@
         start, segment_id = 0, (file.boot, file.segment)
         if offset == 0:
             try:
-                header = segment.read_head(data)
+                header = segment.decode_header(data)
             except segment.InvalidSegment as error:
                 if not closed and str(error) == "torn-head":
                     return 0
--- a/damsonstream/report/charts.py
+++ b/damsonstream/report/charts.py
@@ -164,7 +164,7 @@
 
 def rates(incident: Incident) -> str:
     """Draws GETs per second by outcome, stacked."""
-    watch, at = incident.watch, since(incident)
+    watch, at = incident.detector, since(incident)
     names, width = ("", *watch.services), watch.rates.width / S
     sums: dict[str, list[float]] = {}
     times: list[float] = []
@@ -199,7 +199,7 @@
 
 def latency(incident: Incident) -> str:
     """Draws the median and the 95th percentile of the latency of returned GETs, by delivery service."""
-    watch, at = incident.watch, since(incident)
+    watch, at = incident.detector, since(incident)
     drawing, axes = figure(2.7)
     for index, name in enumerate(list(watch.services)[: len(LINES)]):
         for share, style in ((0.5, "-"), (0.95, ":")):
@@ -220,10 +220,10 @@
 
 def sources(incident: Incident) -> str:
     """Draws the median time to first byte of fills, by source."""
-    watch, at = incident.watch, since(incident)
+    watch, at = incident.detector, since(incident)
     drawing, axes = figure(2.5)
-    for index, node in enumerate(sorted(watch.sources.whole)[: len(LINES)]):
-        points = list(watch.sources.series(node, 0.5))
+    for index, node in enumerate(sorted(watch.source_latencies.histograms)[: len(LINES)]):
+        points = list(watch.source_latencies.series(node, 0.5))
         axes.plot(
             [at(t) for t, _ in points],
             [v for _, v in points],
@@ -244,10 +244,10 @@
 
 def breakers(incident: Incident) -> str:
     """Draws the states of all breakers that changed, with a row for each gateway and node."""
-    watch, at = incident.watch, since(incident)
+    watch, at = incident.detector, since(incident)
     ends = {b.gateway_boot: incident.clocks.fleet(b.gateway_boot, b.last) for b in incident.boots}
     rows: dict[tuple[str, int, str], list[Any]] = {}
-    for change in sorted(watch.turns, key=lambda change: change.at):
+    for change in sorted(watch.breaker_changes, key=lambda change: change.at):
         rows.setdefault((change.gateway, change.boot, change.record.node), []).append(change)
     shown = sorted(rows)[:MAX_ROWS]
     drawing, axes = figure(0.9 + 0.26 * max(1, len(shown)))
@@ -274,9 +274,9 @@
         "rates": rates(incident),
         "latency": latency(incident),
     }
-    if incident.watch.sources.whole:
+    if incident.detector.source_latencies.histograms:
         drawn["sources"] = sources(incident)
-    if incident.watch.turns:
+    if incident.detector.breaker_changes:
         drawn["breakers"] = breakers(incident)
     return {name: own_ids(text, name) for name, text in drawn.items()}
 
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -13,10 +13,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from damsonstream.incident.accounting import Ledger, total_verdicts
-from damsonstream.incident.clocks import Clocks, Sighting, Told, align, find_steps
-from damsonstream.incident.gather import ListenerGroup, StorySelector, gather, merged, summary
-from damsonstream.incident.phases import SlowFillDetector, Watch
+from damsonstream.incident.accounting import GetLedger, total_verdicts
+from damsonstream.incident.clocks import Clocks, Observation, BootTimes, align, find_steps
+from damsonstream.incident.gather import ListenerGroup, StorySelector, analyze, merge_records, summary
+from damsonstream.incident.phases import SlowFillDetector, PhaseDetector
 from damsonstream.incident.rules import RuleChecker
 from damsonstream.records import model
 from damsonstream.records.keeper import Limits
@@ -31,18 +31,18 @@
 FIRM = model.Service("firm", 4000, 0.0, 30_000, 5.0, 0.15, "non-idempotent", "all", 0)
 
 
-def lines(*caches: tuple[str, str, str]) -> list[model.Line]:
+def cache_lines(*caches: tuple[str, str, str]) -> list[model.Line]:
     return [model.Line(cache, location, state, 1.0, {"p": "hub", "o": "vault"}.get(cache[0], "box"), 0)
             for cache, location, state in caches]  # fmt: skip
 
 
-class Script:
+class RecordScript:
     """Builds one gateway's records in order."""
 
     def __init__(self, boot: int = 1, name: str = "n1") -> None:
         self.boot, self.name, self.entries, self.seq, self.gets = boot, name, list[Item | Problem](), 0, 0
         self.add(model.Began(S, boot, name, "t", S, "shop", [PAGES, ORDER, FIRM], "hub", "vault", S, 3000))
-        caches = lines(("c1", "shop", "active"), ("c2", "other", "active"), ("p1", "hub", "active"),
+        caches = cache_lines(("c1", "shop", "active"), ("c2", "other", "active"), ("p1", "hub", "active"),
                        ("o1", "hub", "active"))  # fmt: skip
         self.add(model.Listed(S, 0, True, False, caches))
 
@@ -55,7 +55,7 @@
 
     def restart(self) -> Any:
         self.boot, self.seq, self.gets = self.boot + 1, 0, 0
-        self.entries += Script(self.boot, self.name).entries
+        self.entries += RecordScript(self.boot, self.name).entries
         self.seq = 2
 
     def take(self, at: int, service: int = 0, thing: str = "7f", group: int = 1) -> int:
@@ -81,7 +81,7 @@
     def answer(self, at: int, get: int, outcome: str = "returned") -> Any:
         self.add(model.Answered(at, get, outcome, 0, 1000, 0))
 
-    def whole(
+    def complete_get(
         self, at: int, service: int = 0, took: int = 100, first: int = 0, outcome: str = "returned"
     ) -> Any:
         get = self.take(at, service)
@@ -97,14 +97,14 @@
     def __init__(self, clocks: Clocks | None = None) -> None:
         self.clocks = clocks or Clocks()
         self.phases, self.rules, self.stories = (
-            Watch(self.clocks),
+            PhaseDetector(self.clocks),
             RuleChecker(self.clocks),
             StorySelector(self.clocks),
         )
         self.listeners = ListenerGroup(self.phases, self.rules, self.stories)
 
-    def feed(self, script: Script, running: bool = False) -> Ledger:
-        ledger = Ledger(script.name, self.listeners)
+    def feed(self, script: RecordScript, running: bool = False) -> GetLedger:
+        ledger = GetLedger(script.name, self.listeners)
         for entry in script.entries:
             ledger.feed(entry)
         ledger.close(running)
@@ -112,7 +112,7 @@
 
 
 class Accounting(TraceCase):
-    def verdicts(self, script: Script, running: bool = False) -> str:
+    def verdicts(self, script: RecordScript, running: bool = False) -> str:
         ledger = Analysis().feed(script, running)
         return " ".join(
             f"{verdict} {count}" for verdict, count in sorted(total_verdicts(ledger.boots).items())
@@ -120,8 +120,8 @@
 
     def test_verdict_for_each_way_a_get_can_end(self) -> None:
         trace = list[str]()
-        cases: dict[str, Callable[[Script], object]] = {
-            "answered": lambda s: s.whole(2 * S),
+        cases: dict[str, Callable[[RecordScript], object]] = {
+            "answered": lambda s: s.complete_get(2 * S),
             "the client left": lambda s: s.add(model.Left(3 * S, s.take(2 * S))),
             "in progress when the gateway was killed": lambda s: (s.take(2 * S), s.restart()),
             "in progress when the gateway stopped cleanly": lambda s: (
@@ -130,51 +130,51 @@
             ),
             "in progress, with its time limit over long before the kill": lambda s: (
                 s.take(2 * S),
-                s.whole(9 * S),
+                s.complete_get(9 * S),
                 s.restart(),
             ),
-            "an answer may be in a gap": lambda s: (s.take(2 * S), s.gap(), s.whole(9 * S), s.restart()),
+            "an answer may be in a gap": lambda s: (s.take(2 * S), s.gap(), s.complete_get(9 * S), s.restart()),
             "a gap before the GET was accepted hides nothing": lambda s: (
-                s.whole(2 * S),
+                s.complete_get(2 * S),
                 s.gap(),
                 s.take(4 * S),
-                s.whole(9 * S),
+                s.complete_get(9 * S),
                 s.restart(),
             ),
             "a gap that the gateway recorded": lambda s: (
                 s.take(2 * S),
                 s.add(model.Dropped(3 * S, 25_000, 40, "full")),
-                s.whole(9 * S),
+                s.complete_get(9 * S),
                 s.restart(),
             ),
-            "two answers": lambda s: (s.whole(2 * S), s.answer(3 * S, 1)),
+            "two answers": lambda s: (s.complete_get(2 * S), s.answer(3 * S, 1)),
             "two answers while a forward is pending": lambda s: (
                 s.send_forward(2 * S, s.take(2 * S)),
                 s.answer(21_000, 1),
                 s.answer(22_000, 1, "shed"),
                 s.end_forward(3 * S, 1),
             ),
-            "three answers": lambda s: (s.whole(2 * S), s.answer(3 * S, 1), s.answer(3 * S, 1)),
+            "three answers": lambda s: (s.complete_get(2 * S), s.answer(3 * S, 1), s.answer(3 * S, 1)),
             "an answer after the client left": lambda s: (
                 s.add(model.Left(3 * S, s.take(2 * S))),
                 s.answer(3 * S, 1),
             ),
-            "an answer to an unknown GET": lambda s: (s.whole(2 * S), s.answer(3 * S, 77)),
+            "an answer to an unknown GET": lambda s: (s.complete_get(2 * S), s.answer(3 * S, 77)),
             "an answer to a GET whose start is in a gap": lambda s: (
-                s.whole(2 * S),
+                s.complete_get(2 * S),
                 s.gap(),
                 s.answer(3 * S, 2),
             ),
             "accepted twice": lambda s: (
-                s.whole(2 * S),
+                s.complete_get(2 * S),
                 s.add(model.Taken(3 * S, 1, "a", 0, "7f", 1, S, False)),
             ),
         }
         for name, build in cases.items():
-            script = Script()
+            script = RecordScript()
             build(script)
             trace.append(f"{name}: {self.verdicts(script)}")
-        script = Script()
+        script = RecordScript()
         script.take(2 * S)
         trace.append(f"in progress while the gateway runs: {self.verdicts(script, running=True)}")
         self.check("accounting", trace)
@@ -182,11 +182,11 @@
     @given(st.lists(st.sampled_from(["whole", "left", "none", "twice"]), max_size=30), st.randoms())
     @settings(max_examples=60)
     def test_verdicts_add_up_to_the_gets(self, kinds: list[str], rng: random.Random) -> None:
-        script, at = Script(), 2 * S
+        script, at = RecordScript(), 2 * S
         for kind in kinds:
             at += rng.randrange(S)
             if kind in ("whole", "twice"):
-                script.whole(at)
+                script.complete_get(at)
             else:
                 get = script.take(at)
                 if kind == "left":
@@ -201,7 +201,7 @@
 
 
 class RuleChecks(TraceCase):
-    def describe_findings(self, script: Script) -> str:
+    def describe_findings(self, script: RecordScript) -> str:
         analysis = Analysis()
         analysis.feed(script)
         shown = [f for f in analysis.rules.findings() if f.broken or f.untold]
@@ -217,14 +217,14 @@
             trace.append(f"{name}: {self.describe_findings(script)}")
 
         for name, delay in (("in time, within the tolerance", 3 * S + 400), ("late", 3 * S + 900)):
-            script = Script()
-            script.whole(2 * S, took=delay)
+            script = RecordScript()
+            script.complete_get(2 * S, took=delay)
             add_case(name)
-        script = Script()
-        script.whole(2 * S)
+        script = RecordScript()
+        script.complete_get(2 * S)
         script.send_forward(2 * S + 200, 1, 1)
         add_case("a forward for a GET that has ended")
-        script = Script()
+        script = RecordScript()
         get = script.take(2 * S)
         script.send_forward(2 * S, get)
         script.answer(21_000, get)
@@ -234,7 +234,7 @@
             (2, "broken", "c1", 0), (2, "shed", "c1", 0), (1, "broken", "c1", 0), (1, "broken", "c2", 0),
             (1, "broken", "c1", 4 * S), (0, "broken", "c2", 0),
         ):  # fmt: skip
-            script = Script()
+            script = RecordScript()
             get = script.take(2 * S, service)
             script.send_forward(2 * S, get)
             script.end_forward(2 * S + 100, get, result)
@@ -244,20 +244,20 @@
                 f"{(PAGES, ORDER, FIRM)[service].name} retried at {cache} after {result}, {at / S:g} s later"
             )
         for service in (1, 2):
-            script = Script()
+            script = RecordScript()
             get = script.take(2 * S, service)
             script.send_forward(2 * S, get)
             script.answer(21_000, get, "shed")
             add_case(f"{(PAGES, ORDER, FIRM)[service].name} shed with a forward pending")
         for after in (S, 2 * S):
-            script = Script()
-            script.add(model.Listed(2 * S, 5, False, False, lines(("p1", "hub", "leaving"))))
+            script = RecordScript()
+            script.add(model.Listed(2 * S, 5, False, False, cache_lines(("p1", "hub", "leaving"))))
             get = script.take(2 * S + after)
             script.send_forward(2 * S + after, get, source="p1")
             script.answer(3 * S + after, get)
             add_case(f"a draining source used {after / S:g} s later")
         for sent, stamp in ((2000, 0), (4000, 0), (4000, 1500), (4000, 2500)):
-            script = Script()
+            script = RecordScript()
             script.add(model.Purge(2 * S, 5, "", 1, 2 * S))
             get = script.take(2 * S + sent)
             script.send_forward(2 * S + sent, get)
@@ -269,13 +269,13 @@
 
 class Phases(TraceCase):
     def test_slow_source_breaker_overload_and_recovery(self) -> None:
-        script, rng, at = Script(), random.Random(3), 2 * S
+        script, rng, at = RecordScript(), random.Random(3), 2 * S
         while at < 42 * S:
             at += int(rng.expovariate(20) * S)
             slow = 12 * S <= at < 20 * S
             first = (400 if slow else 40) * MS + rng.randrange(100)
             shed = 24 * S <= at < 27 * S and rng.random() < 0.6
-            script.whole(at, took=first + 50, first=first, outcome="shed" if shed else "returned")
+            script.complete_get(at, took=first + 50, first=first, outcome="shed" if shed else "returned")
         script.entries.sort(key=lambda entry: entry.record.at if isinstance(entry, Item) else 0)
         script.add(model.Breaker(30 * S, "parent", "p1", "Open", 5, 9, 6.5))
         script.add(model.Breaker(35 * S, "parent", "p1", "Half-Open", 0, 0, 0))
@@ -308,13 +308,13 @@
 
 def observations(
     clocks: dict[str, tuple[int, float]], events: int, gap: int, jitter: int, seed: int
-) -> list[Sighting]:
+) -> list[Observation]:
     """Returns observations of common events by clocks with the given offset and drift."""
-    rng, observed = random.Random(seed), list[Sighting]()
+    rng, observed = random.Random(seed), list[Observation]()
     for event in range(events):
         for name, (offset, drift) in clocks.items():
             true = event * gap + rng.randrange(jitter + 1)
-            observed.append(Sighting((name, 1), event, true + offset + round(drift * true)))
+            observed.append(Observation((name, 1), event, true + offset + round(drift * true)))
     return observed
 
 
@@ -340,8 +340,8 @@
 
     def test_drift_restart_and_gateways_without_common_events(self) -> None:
         clocks = {"n1": (0, 0.0), "n2": (3 * S, 0.0005), "n3": (-S, 0.0)}
-        boots = [Told((name, 1), S, 400 * S) for name in clocks]
-        boots += [Told(("n2", 2), 410 * S, 500 * S, 0), Told(("n4", 1), S, 400 * S)]
+        boots = [BootTimes((name, 1), S, 400 * S) for name in clocks]
+        boots += [BootTimes(("n2", 2), 410 * S, 500 * S, 0), BootTimes(("n4", 1), S, 400 * S)]
         fitted = align(observations(clocks, 40, 10 * S, 30 * MS, 5), boots)
         trace = []
         for (name, boot), fit in sorted(fitted.fits.items()):
@@ -366,7 +366,7 @@
         self.addCleanup(holder.cleanup)
         self.folder = Path(holder.name)
 
-    def write(self, script: Script, shift: int = 0) -> None:
+    def write(self, script: RecordScript, shift: int = 0) -> None:
         writer = Writer(self.folder, script.name, Limits())
         writer.start()
         for entry in script.entries:
@@ -377,13 +377,13 @@
 
     def test_records_are_merged_by_fleet_time_and_keep_their_order_within_a_gateway(self) -> None:
         for name, shift in (("n1", 0), ("n2", 3 * S), ("n3", -2 * S)):
-            script = Script(name=name)
+            script = RecordScript(name=name)
             for index in range(6):
                 script.add(model.Purge((4 + index) * S, 5 + index, "", index, index * S))
             script.add(model.Purge(5 * S, 99, "late", -1, 1))  # written after, with an earlier time
             self.write(script, shift)
         trace = []
-        for at, name, item in merged(self.folder):
+        for at, name, item in merge_records(self.folder):
             if isinstance(item.record, model.Purge):
                 trace.append(f"{at / S:.1f} {name} {item.record.thing or item.record.group}")
         self.check("merged", trace)
@@ -391,7 +391,7 @@
     def test_hostile_names_are_escaped(self) -> None:
         name = "<script>alert(1)</script>\x1b[2J\x00$x^$ {{7*7}} ]]>&amp;"
         hostile = model.Service(name, 4000, 0.0, 30_000, 2.0, 0.15, "idempotent", "all", 0)
-        script = Script(name=name)
+        script = RecordScript(name=name)
         script.entries[0] = Item(1, 0, model.Began(S, 1, name, name, S, name, [hostile], "hub", "vault"))
         caches = [model.Line(name, name, "active", 1.0, "vault", 0)]
         script.add(model.Listed(S, 1, False, False, caches))
@@ -404,7 +404,7 @@
         script.add(model.Breaker(60 * S, name, name, "Open", 5, 5, 5))
         script.add(model.Turned(61 * S, name, "errored", name))
         self.write(script)
-        incident = gather(self.folder)
+        incident = analyze(self.folder)
         html = page(incident)
         self.assertNotIn("<script", html)
         self.assertNotIn("\x1b", html)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 from damsonstream.console import text
 from damsonstream.console.history import History
 from damsonstream.incident.clocks import Clocks
-from damsonstream.incident.phases import Watch
+from damsonstream.incident.phases import PhaseDetector
 from damsonstream.peers import shares, subsets, turns, wire
 from damsonstream.peers.council import PeerAgent
 from damsonstream.peers.evidence import Evidence, PeerReport, merge
@@ -475,7 +475,7 @@
         ]
 
     def test_phases_show_splits_and_trials(self) -> None:
-        watch = Watch(Clocks())
+        watch = PhaseDetector(Clocks())
         for record in self.records():
             watch.record("n1", 1, record)
         result = [(p.kind, p.subject, p.start // S, p.end // S, p.evidence[:-1]) for p in watch.phases([])]
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -19,7 +19,7 @@
 
 from damsonstream.records import model, segment
 from damsonstream.records.keeper import Limits, StoredSegment, WritePolicy
-from damsonstream.records.store import Follower, Item, Problem, Reader, files, gateways
+from damsonstream.records.store import Follower, Item, Problem, Reader, segment_files, gateway_folders
 from damsonstream.records.writer import Writer
 from tests.helpers import TraceCase
 
@@ -61,7 +61,7 @@
         whole[position] ^= data.draw(st.integers(1, 255))
         ends = [sum(map(len, frames[: n + 1])) for n in range(len(frames))]
         damaged = next(n for n, end in enumerate(ends) if position < end)
-        found = [part.seq for part in segment.scan(bytes(whole), 0) if isinstance(part, segment.Whole)]
+        found = [part.seq for part in segment.scan(bytes(whole), 0) if isinstance(part, segment.Frame)]
         self.assertEqual(found, [n for n in range(len(frames)) if n != damaged])
 
     @given(st.lists(st.binary(max_size=30), min_size=1, max_size=6), st.integers(0, 400))
@@ -70,7 +70,7 @@
         frames = [segment.encode_frame(seq, payload) for seq, payload in enumerate(payloads)]
         data = b"".join(frames)[:cut]
         found = list(segment.scan(data, 0))
-        whole = [part.seq for part in found if isinstance(part, segment.Whole)]
+        whole = [part.seq for part in found if isinstance(part, segment.Frame)]
         kept = [n for n in range(len(frames)) if sum(map(len, frames[: n + 1])) <= cut]
         self.assertEqual(whole, kept)
         damage = [part for part in found if isinstance(part, segment.DamagedBytes)]
@@ -80,7 +80,7 @@
     @settings(max_examples=200)
     def test_arbitrary_bytes_raise_only_expected_errors(self, data: bytes) -> None:
         list(segment.scan(data, 0))
-        for read in (segment.read_head, model.decode):
+        for read in (segment.decode_header, model.decode):
             try:
                 read(data)
             except (segment.InvalidSegment, model.Unknown, model.Unreadable):
@@ -203,7 +203,7 @@
         return list(Reader(self.folder / "n0").read())
 
     def damage(self, number: int, at: int, flip: int = 0) -> None:
-        path = files(self.folder / "n0")[number].path
+        path = segment_files(self.folder / "n0")[number].path
         data = bytearray(path.read_bytes())
         if flip:
             data[at] ^= flip
@@ -215,7 +215,7 @@
         lines = list[str]()
         for boot in range(3):
             self.write_boot(20, 100 * boot)
-        lines += [f"{name} in {path.name}" for name, path in gateways(self.folder).items()]
+        lines += [f"{name} in {path.name}" for name, path in gateway_folders(self.folder).items()]
         lines += summarize(self.read())
         self.check("store", lines)
 
@@ -235,7 +235,7 @@
             if at % 10 == 9:
                 self.wait_until(lambda: writer.queued_bytes == 0)
         writer.close()
-        names = files(writer.folder)
+        names = segment_files(writer.folder)
         names[-3].path.unlink()
         lines += ["a segment missing in the middle", *summarize(self.read())[-3:]]
         newer = segment.encode_frame(60, msgspec.msgpack.encode([99, 1])) + segment.encode_frame(
@@ -332,7 +332,7 @@
                 writer.put(at, model.encode(answered(at)))
             self.wait_until(lambda: writer.queued_bytes == 0)
             lines += ["while it runs", *summarize(follower.poll())]
-        path = files(folder)[-1].path
+        path = segment_files(folder)[-1].path
         half = segment.encode_frame(10, model.encode(answered(10)))
         writer.close()
         with path.open("ab") as stream:
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -31,7 +31,7 @@
 from damsonstream.settings import kdl, operator
 from damsonstream.standins.clients import Try
 from tests.helpers import TraceCase
-from tests.test_incident import S, Script, lines
+from tests.test_incident import S, RecordScript, cache_lines
 
 
 def run(*arguments: str) -> tuple[int, str]:
@@ -127,14 +127,14 @@
         """A history of two gateways, with the clock of the second one 3 s ahead."""
         history = History()
         for name, shift in (("n1", 0), ("n2\x1b[2J", 3 * S)):
-            script = Script(name=name)
+            script = RecordScript(name=name)
             for second in range(20):
                 script.add(model_pulse(second))
-                script.whole((2 + second) * S, took=100, outcome="shed" if second > 15 else "returned")
+                script.complete_get((2 + second) * S, took=100, outcome="shed" if second > 15 else "returned")
             script.add(model.Purge(6 * S, 3, "", 4, 6 * S))
             script.add(model.Purge(6 * S + 10, 4, "", 5, 6 * S))
             script.add(model.Breaker(15 * S, "parent", "p1", "Open", 5, 9, 6.5))
-            script.add(model.Listed(16 * S, 5, False, False, lines(("c1", "shop", "leaving"))))
+            script.add(model.Listed(16 * S, 5, False, False, cache_lines(("c1", "shop", "leaving"))))
             if name == "n1":
                 script.gap("flipped", 2)
             script.entries.sort(
@@ -283,15 +283,15 @@
         for name in ("removed", "doubled"):
             damaged = folder / name
             shutil.copytree(records, damaged)
-            path = store.files(damaged / "n1")[0].path
+            path = store.segment_files(damaged / "n1")[0].path
             data = path.read_bytes()
-            start = segment.read_head(data).size
-            frames = [part for part in segment.scan(data, start) if isinstance(part, segment.Whole)]
+            start = segment.decode_header(data).size
+            frames = [part for part in segment.scan(data, start) if isinstance(part, segment.Frame)]
             index = next(n for n, part in enumerate(frames) if n > 200 and part.payload[1] == 6)
             begin, end = frames[index - 1].after, frames[index].after
             path.write_bytes(data[:begin] + (b"" if name == "removed" else data[begin:end] * 2) + data[end:])
             self.assertEqual(run("records", "verify", str(damaged))[0], 1)
-            summary = reading.summary(reading.gather(damaged))
+            summary = reading.summary(reading.analyze(damaged))
             truth = Truth(began=0.0)
             wrong = [line for line in check(summary, recorded(damaged), truth) if "records of" in line]
             self.assertTrue(any(re.search("lost|doubled", line) for line in wrong), wrong)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -17,7 +17,7 @@
 from damsonstream.console import text
 from damsonstream.console.history import History
 from damsonstream.incident.clocks import Clocks
-from damsonstream.incident.phases import Watch
+from damsonstream.incident.phases import PhaseDetector
 from damsonstream.records import model
 from damsonstream.records.store import Item
 from damsonstream.routing import interface as i
@@ -298,7 +298,7 @@
         ]  # fmt: skip
 
     def test_a_phase_lists_states_by_gateway_and_spilled_fills(self) -> None:
-        watch = Watch(Clocks())
+        watch = PhaseDetector(Clocks())
         for name, late in (("n1", 0), ("n2", 2)):
             for record in self.records(name, late):
                 watch.record(name, 1, record)
