--- a/damsonstream/demo/verdict.py
+++ b/damsonstream/demo/verdict.py
@@ -29,17 +29,17 @@
         elif isinstance(record, model.Turned):
             self.entry_for(gateway, record.ident).answers.append(record.outcome)
 
-    def sent(self, get: Get, sent: model.Sent) -> None:
+    def forward_sent(self, get: Get, sent: model.Sent) -> None:
         pass
 
-    def came(self, get: Get, leg: Forward) -> None:
+    def forward_ended(self, get: Get, leg: Forward) -> None:
         pass
 
     def answered(self, get: Get) -> None:
         assert get.answered is not None
         self.entry_for(get.gateway, get.taken.ident).answers.append(get.answered.outcome)
 
-    def over(self, get: Get, verdict: str) -> None:
+    def get_ended(self, get: Get, verdict: str) -> None:
         self.entry_for(get.gateway, get.taken.ident).verdict = verdict
 
     def stray(self, gateway: str, boot: int, record: StrayRecord) -> None:
--- a/damsonstream/incident/accounting.py
+++ b/damsonstream/incident/accounting.py
@@ -71,10 +71,10 @@
     """
 
     def record(self, gateway: str, boot: int, record: model.AnyRecord) -> None: ...
-    def sent(self, get: Get, sent: model.Sent) -> None: ...
-    def came(self, get: Get, leg: Forward) -> None: ...
+    def forward_sent(self, get: Get, sent: model.Sent) -> None: ...
+    def forward_ended(self, get: Get, leg: Forward) -> None: ...
     def answered(self, get: Get) -> None: ...
-    def over(self, get: Get, verdict: str) -> None: ...
+    def get_ended(self, get: Get, verdict: str) -> None: ...
     def stray(self, gateway: str, boot: int, record: StrayRecord) -> None: ...
 
 
@@ -128,7 +128,7 @@
             if get := self.open_gets.get(record.get):
                 get.forwards[record.leg] = Forward(record.leg, record)
                 self.add_to_history(get, record)
-                self.listener.sent(get, record)
+                self.listener.forward_sent(get, record)
             elif self.state(record.get) in (ANSWERED, TWICE, LEFT):
                 self.listener.stray(self.gateway, boot.number, record)
         elif isinstance(record, model.Came):
@@ -188,7 +188,7 @@
         if leg := get.forwards.get(record.leg):
             leg.came = record
             self.add_to_history(get, record)
-            self.listener.came(get, leg)
+            self.listener.forward_ended(get, leg)
         if (get.answered or get.left_at) and not get.has_pending_forward:
             self.finish(get)
 
@@ -241,7 +241,7 @@
 
     def record_verdict(self, get: Get, verdict: str) -> None:
         self.boot.verdicts[verdict] += 1
-        self.listener.over(get, verdict)
+        self.listener.get_ended(get, verdict)
 
     def record_gap(self, reason: str, count: int, since: int = 0) -> None:
         boot = self.boot
--- a/damsonstream/incident/gather.py
+++ b/damsonstream/incident/gather.py
@@ -108,7 +108,7 @@
     heaps: dict[str, list[tuple[float, int, Story]]] = field(default_factory=dict)
     sequence: int = 0
 
-    def over(self, get: Get, verdict: str) -> None:
+    def get_ended(self, get: Get, verdict: str) -> None:
         """Offers a GET that has ended; its sort and weight depend on its verdict, outcome and duration."""
         answer = get.answered
         duration = answer.at - get.taken.at if answer else 0
@@ -155,22 +155,22 @@
         self.phases.record(gateway, boot, record)
         self.rules.record(gateway, boot, record)
 
-    def sent(self, get: Get, sent: model.Sent) -> None:
-        self.phases.sent(get, sent)
-        self.rules.sent(get, sent)
+    def forward_sent(self, get: Get, sent: model.Sent) -> None:
+        self.phases.forward_sent(get, sent)
+        self.rules.forward_sent(get, sent)
 
-    def came(self, get: Get, leg: Forward) -> None:
-        self.phases.came(get, leg)
-        self.rules.came(get, leg)
+    def forward_ended(self, get: Get, leg: Forward) -> None:
+        self.phases.forward_ended(get, leg)
+        self.rules.forward_ended(get, leg)
 
     def answered(self, get: Get) -> None:
         self.phases.answered(get)
         self.rules.answered(get)
 
-    def over(self, get: Get, verdict: str) -> None:
-        self.phases.over(get, verdict)
-        self.rules.over(get, verdict)
-        self.stories.over(get, verdict)
+    def get_ended(self, get: Get, verdict: str) -> None:
+        self.phases.get_ended(get, verdict)
+        self.rules.get_ended(get, verdict)
+        self.stories.get_ended(get, verdict)
 
     def stray(self, gateway: str, boot: int, record: StrayRecord) -> None:
         self.rules.stray(gateway, boot, record)
--- a/damsonstream/incident/phases.py
+++ b/damsonstream/incident/phases.py
@@ -248,10 +248,10 @@
         names = self.service_names.get((gateway, boot), [])
         return names[index] if 0 <= index < len(names) else ""
 
-    def sent(self, get: Get, sent: model.Sent) -> None:
+    def forward_sent(self, get: Get, sent: model.Sent) -> None:
         self.rates.add(self.fleet_time(get.gateway, get.boot, sent.at), ("forward", ""))
 
-    def came(self, get: Get, leg: Forward) -> None:
+    def forward_ended(self, get: Get, leg: Forward) -> None:
         came, sent = leg.came, leg.sent
         assert came is not None
         at = self.fleet_time(get.gateway, get.boot, sent.at)
@@ -298,7 +298,7 @@
         else:
             self.rates.add(at, ("earned", name), service.revenue)
 
-    def over(self, get: Get, verdict: str) -> None:
+    def get_ended(self, get: Get, verdict: str) -> None:
         if verdict == "left" and get.service:
             at = self.fleet_time(get.gateway, get.boot, get.left_at)
             self.rates.add(at, ("left", get.service.name))
--- a/damsonstream/incident/rules.py
+++ b/damsonstream/incident/rules.py
@@ -128,7 +128,7 @@
 
     # GETs
 
-    def sent(self, get: Get, sent: model.Sent) -> None:
+    def forward_sent(self, get: Get, sent: model.Sent) -> None:
         """Checks a forward for rules 1 (not after the answer), 2 (retries), 3 (drains) and 4 (cold nodes)."""
         known = self.boot_view(get.gateway, get.boot)
         label = f"{get.gateway} boot {get.boot} GET {get.taken.ident}"
@@ -179,7 +179,7 @@
             finding.untold += 1
             finding.why = "records do not show which caches share a cell"
 
-    def came(self, get: Get, leg: Forward) -> None:
+    def forward_ended(self, get: Get, leg: Forward) -> None:
         assert leg.came is not None
         came, sent = leg.came, leg.sent
         known = self.boot_view(get.gateway, get.boot)
@@ -232,7 +232,7 @@
             self.finding(2).cases += 1
             self.add_violation(2, f"{label}: shed, though a forward of it may have run")
 
-    def over(self, get: Get, verdict: str) -> None:
+    def get_ended(self, get: Get, verdict: str) -> None:
         finding = self.finding(1)
         if verdict in VIOLATIONS:
             finding.cases += 1
--- a/damsonstream/peers/council.py
+++ b/damsonstream/peers/council.py
@@ -114,17 +114,17 @@
 
     # calls of the router
 
-    def asked(self, now: int) -> None:
+    def get_received(self, now: int) -> None:
         """Counts a GET."""
         self.location_shares.record_get(now)
 
-    def saw(self, now: int, source: int, in_location: bool, failed: bool) -> None:
+    def record_outcome(self, now: int, source: int, in_location: bool, failed: bool) -> None:
         """Records how a forward ended, as its breaker was notified. `in_location`: the source is of this
         location, and concerns only its gateways."""
         if "evidence" in self.features:
             self.evidence.record_outcome(now, source, self.audience(in_location), failed)
 
-    def anew(self, source: int) -> None:
+    def node_restarted(self, source: int) -> None:
         """Drops what is known of a source that runs as a new process."""
         self.opened_by_peers.discard(source)
         self.clear_source(source)
@@ -139,13 +139,13 @@
         """Returns the location whose gateways are concerned by items on a source."""
         return self.location if in_location else wire.ALL_LOCATIONS
 
-    def turn(self, now: int, source: int, in_location: bool, cooldown_end: int) -> bool:
+    def may_try(self, now: int, source: int, in_location: bool, cooldown_end: int) -> bool:
         """Returns whether this gateway may run a trial now; `cooldown_end`: when its own cooldown ended."""
         if "turns" not in self.features or source in self.opened_by_peers:
             return True
         return self.trials.may_try(now, source, cooldown_end, self.trial_candidates(now, source, in_location))
 
-    def trying(self, now: int, source: int, in_location: bool) -> None:
+    def trial_started(self, now: int, source: int, in_location: bool) -> None:
         """Announces a trial that begins here."""
         self.on_trial(now, source, "begun")
         if "turns" in self.features:
@@ -153,7 +153,7 @@
             if message is not None:
                 self.gossip.publish(now, message)
 
-    def tried(self, now: int, source: int, in_location: bool, succeeded: bool) -> None:
+    def trial_ended(self, now: int, source: int, in_location: bool, succeeded: bool) -> None:
         """Publishes the result of a trial that ended here."""
         self.on_trial(now, source, "good" if succeeded else "bad")
         self.opened_by_peers.discard(source)
@@ -166,7 +166,7 @@
             if message is not None:
                 self.gossip.publish(now, message)
 
-    def part(self, now: int, in_location: bool) -> float:
+    def limit_share(self, now: int, in_location: bool) -> float:
         """Returns this gateway's fraction of the caps of its location or of the fleet."""
         return (self.location_shares if in_location else self.fleet_shares).fraction(now)
 
@@ -203,7 +203,7 @@
             gateways = self.members.alive(now, gateways) or [self.own_index]
         return gateways
 
-    def listed(self, location_sources: tuple[int, ...], all_sources: tuple[int, ...]) -> None:
+    def nodes_listed(self, location_sources: tuple[int, ...], all_sources: tuple[int, ...]) -> None:
         """Sets the sources of the list, of this location and of all; their watchers are assigned again."""
         for in_location, sources in ((True, location_sources), (False, all_sources)):
             if self.sources[in_location] != sources:
@@ -318,7 +318,7 @@
 
     # zones
 
-    def follow(self, now: int, zones: Mapping[str, float]) -> None:
+    def set_zones(self, now: int, zones: Mapping[str, float]) -> None:
         """Follows these zones from now on; `zones`: the seconds that each one's return takes, by name."""
         # its dependencies load only where zones are followed
         from damsonstream.tiers.verdicts import ZoneTracker
@@ -328,7 +328,7 @@
         self.zones.set_zones(zones, now / S)
         self.zone_names = {hash_zone(name): name for name in self.zones.views}
 
-    def zone_saw(
+    def observe_zone(
         self, now: int, zone: str, failing: bool, own: bool, answered: bool, hubs: Sequence[str] = ()
     ) -> None:
         """Records the state of a zone's hubs at this gateway. `failing`: the breakers of most of them are
@@ -347,11 +347,11 @@
         if answered or own:
             self.zones.record_trial(zone, answered, now / S)
 
-    def dead(self, hub: str) -> bool:
+    def hub_is_dead(self, hub: str) -> bool:
         """Returns whether enough gateways had failures only with a hub, and none a success since."""
         return source_id(hub) in self.dead_since
 
-    def zone_carries(self, now: int, zone: str) -> float:
+    def zone_home_share(self, now: int, zone: str) -> float:
         """Returns the share of its own objects that a zone's hubs are asked for."""
         if self.zones is None:
             return 1.0
--- a/damsonstream/records/recorder.py
+++ b/damsonstream/records/recorder.py
@@ -48,7 +48,7 @@
 
     # calls from the gateway (the observer interface)
 
-    def opened(
+    def get_opened(
         self, now: int, number: int, ident: bytes, service: int, thing: str, group: int, remaining: int,
         repeated: bool,
     ) -> None:  # fmt: skip
@@ -57,21 +57,21 @@
             model.Taken(self.record_time(now), number, ident_text, service, thing, group, remaining, repeated)
         )
 
-    def sent(self, now: int, number: int, leg: int, forward: i.Forward) -> None:
+    def forward_sent(self, now: int, number: int, leg: int, forward: i.Forward) -> None:
         self.write(model.Sent(self.record_time(now), number, leg, forward.cache, forward.source, forward.max_age,
                               forward.only_if_cached))  # fmt: skip
 
-    def came(self, now: int, event: i.ForwardEnded, stamp: int) -> None:
+    def forward_ended(self, now: int, event: i.ForwardEnded, stamp: int) -> None:
         self.write(model.Came(self.record_time(now), event.get, event.attempt, event.cache, event.result,
                               event.fill_code, event.duration, event.first_byte, event.shared_failure, stamp))  # fmt: skip
 
-    def final(self, now: int, number: int, outcome: str, come_back: int, size: int, leg: int) -> None:
+    def get_answered(self, now: int, number: int, outcome: str, come_back: int, size: int, leg: int) -> None:
         self.write(model.Answered(self.record_time(now), number, outcome, come_back, size, leg))
 
-    def left(self, now: int, number: int) -> None:
+    def client_left(self, now: int, number: int) -> None:
         self.write(model.Left(self.record_time(now), number))
 
-    def decided(self, now: int, actions: list[i.Action]) -> None:
+    def actions_decided(self, now: int, actions: list[i.Action]) -> None:
         """Records the breaker changes among the router's actions."""
         for action in actions:
             if isinstance(action, i.Trace):
--- a/damsonstream/routing/gateway.py
+++ b/damsonstream/routing/gateway.py
@@ -73,22 +73,22 @@
     `now` is the time of the router's clock. The methods must neither raise nor block.
     """
 
-    def opened(
+    def get_opened(
         self, now: int, number: int, ident: bytes, service: int, object_id: str, group: int, time_left: int,
         is_retry: bool,
     ) -> None: ...  # fmt: skip
 
-    def sent(self, now: int, number: int, attempt: int, forward: i.Forward) -> None: ...
+    def forward_sent(self, now: int, number: int, attempt: int, forward: i.Forward) -> None: ...
 
-    def came(self, now: int, event: i.ForwardEnded, stamp: int) -> None: ...
+    def forward_ended(self, now: int, event: i.ForwardEnded, stamp: int) -> None: ...
 
-    def final(
+    def get_answered(
         self, now: int, number: int, outcome: str, retry_after: int, size: int, attempt: int
     ) -> None: ...
 
-    def left(self, now: int, number: int) -> None: ...
+    def client_left(self, now: int, number: int) -> None: ...
 
-    def decided(self, now: int, actions: list[i.Action]) -> None: ...
+    def actions_decided(self, now: int, actions: list[i.Action]) -> None: ...
 
 
 class Gateway:
@@ -121,7 +121,7 @@
         now = self.clock.now()
         actions = self.router.handle(now, event)
         if self.observer is not None and actions:
-            self.observer.decided(now, actions)
+            self.observer.actions_decided(now, actions)
         for action in actions:
             match action:
                 case i.Forward() | i.Recall() | i.Shed() | i.Errored():
--- a/damsonstream/routing/interface.py
+++ b/damsonstream/routing/interface.py
@@ -82,43 +82,43 @@
     concern only the gateways of the location; parents and the origin concern all gateways.
     """
 
-    def asked(self, now: int) -> None:
+    def get_received(self, now: int) -> None:
         """Called for each GET received."""
 
-    def listed(self, local: tuple[int, ...], remote: tuple[int, ...]) -> None:
+    def nodes_listed(self, local: tuple[int, ...], remote: tuple[int, ...]) -> None:
         """Called with the active nodes of the list: caches of this location, and parents with the origin."""
 
-    def anew(self, node: int) -> None:
+    def node_restarted(self, node: int) -> None:
         """Called when the node has restarted as a new process."""
 
-    def saw(self, now: int, node: int, local: bool, failed: bool) -> None:
+    def record_outcome(self, now: int, node: int, local: bool, failed: bool) -> None:
         """Called with each outcome that is recorded in the node's breaker."""
 
-    def turn(self, now: int, node: int, local: bool, allowed_at: int) -> bool:
+    def may_try(self, now: int, node: int, local: bool, allowed_at: int) -> bool:
         """Returns whether this gateway may send a trial to a Half-Open node.
 
         `allowed_at` is the time from which its breaker allows the trial.
         """
 
-    def trying(self, now: int, node: int, local: bool) -> None:
+    def trial_started(self, now: int, node: int, local: bool) -> None:
         """Called when a trial is sent."""
         ...
 
-    def tried(self, now: int, node: int, local: bool, succeeded: bool) -> None:
+    def trial_ended(self, now: int, node: int, local: bool, succeeded: bool) -> None:
         """Called when a trial has ended."""
         ...
 
-    def part(self, now: int, local: bool) -> float:
+    def limit_share(self, now: int, local: bool) -> float:
         """Returns this gateway's share of a limit that is common to its location or to all gateways."""
 
 
 class Hierarchy(Protocol):
     """The operator's cache hierarchy (implemented by damsonstream/tiers/service.py)."""
 
-    def has(self, cache: str) -> bool:
+    def contains(self, cache: str) -> bool:
         """Returns whether the hierarchy contains the cache; one that it does not contain is not used."""
 
-    def among(self, now: int, cache: str, hash_point: float, sources: list[str]) -> list[str]:
+    def eligible_sources(self, now: int, cache: str, hash_point: float, sources: list[str]) -> list[str]:
         """Returns the sources that may fill an object in this cache now, in order of preference.
 
         `sources` are the usable ones in hash order, `hash_point` is the object's hash as a fraction
@@ -126,16 +126,16 @@
         Only sources of the cache's own zone are returned while that zone may be used.
         """
 
-    def sent(self, now: int, cache: str, source: str) -> str:
+    def charge_fill(self, now: int, cache: str, source: str) -> str:
         """Called when a forward with a source is sent; returns the budget it was charged to."""
 
-    def unspent(self, cache: str, source: str, budget: str) -> None:
+    def refund_fill(self, cache: str, source: str, budget: str) -> None:
         """Refunds a charge: the cache had a copy, so the source was not used."""
 
-    def saw(self, now: int, source: str, failed: bool) -> None:
+    def record_fill(self, now: int, source: str, failed: bool) -> None:
         """Called with each outcome of a fill that is recorded in the source's breaker."""
 
-    def turned(self, source: str, state: str) -> None:
+    def breaker_changed(self, source: str, state: str) -> None:
         """Called with each new state of the source's breaker."""
 
 
--- a/damsonstream/routing/life.py
+++ b/damsonstream/routing/life.py
@@ -72,7 +72,7 @@
     body: bytes
     inbox: Inbox[Step] = field(default_factory=Inbox)
 
-    def left(self) -> None:
+    def client_left(self) -> None:
         self.inbox.put(ClientGone())
 
 
@@ -149,7 +149,7 @@
                                    end.load)  # fmt: skip
             stamp = end.stamp
         if observer is not None:
-            observer.came(now, event, stamp)
+            observer.forward_ended(now, event, stamp)
         gateway.handle_event(event)
 
     def send_answer(final: FinalAnswer, attempt: int = -1) -> None:
@@ -159,11 +159,11 @@
             answer(final)
             if observer is not None:
                 size = len(final.body)
-                observer.final(clock.now(), number, final.outcome, final.retry_after_ms, size, attempt)
+                observer.get_answered(clock.now(), number, final.outcome, final.retry_after_ms, size, attempt)
 
     try:
         if observer is not None:
-            observer.opened(clock.now(), number, get.ident, get.service, get.object_id, get.group,
+            observer.get_opened(clock.now(), number, get.ident, get.service, get.object_id, get.group,
                             get.time_left_ms * TICKS_PER_MS, get.is_retry)  # fmt: skip
         gateway.handle_event(
             i.GetReceived(
@@ -216,7 +216,7 @@
                     )
                     pending[attempt] = forward
                     if observer is not None:
-                        observer.sent(now, number, attempt, step)
+                        observer.forward_sent(now, number, attempt, step)
                     forward.handle = send(step.cache, get.ident, command, on_end)
                 case ForwardDone():
                     if step.attempt not in pending:
@@ -238,7 +238,7 @@
                     if not finished:
                         finished = True
                         if observer is not None:
-                            observer.left(clock.now(), number)
+                            observer.client_left(clock.now(), number)
                         gateway.handle_event(i.ClientLeft(number))
     except Exception:
         # "life" is the name of the event in the log
--- a/damsonstream/routing/router.py
+++ b/damsonstream/routing/router.py
@@ -326,9 +326,9 @@
             if entry.started_at and entry.started_at != node.entry.started_at:
                 node.reset()  # a new process: observations of the old one do not apply
                 if self.peers:
-                    self.peers.anew(node.peer_id)
+                    self.peers.node_restarted(node.peer_id)
                 if self.hierarchy:
-                    self.hierarchy.turned(node.name, "Closed")
+                    self.hierarchy.breaker_changed(node.name, "Closed")
             node.entry, node.active, node.removed = entry, entry.state == "active", entry.state == "left"
             # a fixed limit of 64 is too low for a parent with capacity for 1000 transfers
             if node.role == "parent" and self.units_known:
@@ -339,13 +339,13 @@
         self.origin = next((n for n in active if n.role == "origin"), None)
         if self.peers:
             remote = (*self.parents, *([self.origin] if self.origin else []))
-            self.peers.listed(tuple(n.peer_id for n in self.caches), tuple(n.peer_id for n in remote))
+            self.peers.nodes_listed(tuple(n.peer_id for n in self.caches), tuple(n.peer_id for n in remote))
         self.dispatch_queue()
 
     def start_get(self, event: i.GetReceived) -> None:
         """Starts routing a GET."""
         if self.peers:
-            self.peers.asked(self.now)
+            self.peers.get_received(self.now)
         service = self.services[event.service]
         transfer_time = (
             int(event.size_kb / self.config.client_kb_per_s * S) if self.config.client_kb_per_s else 0
@@ -426,7 +426,7 @@
             node.in_flight += 1
             node.breaker.trial_in_flight |= node in trials
             if self.peers and node in trials:
-                self.peers.trying(now, node.peer_id, node.is_local)
+                self.peers.trial_started(now, node.peer_id, node.is_local)
             cost, node.cold_credit = (
                 [float(now), get.service.mean_transfer],
                 node.cold_credit - get.service.mean_transfer,
@@ -435,7 +435,7 @@
             while node.recent_costs[0][0] < now - 3 * S:
                 node.recent_costs.popleft()
         budget = (
-            self.hierarchy.sent(now, cache.name, source.name)
+            self.hierarchy.charge_fill(now, cache.name, source.name)
             if self.hierarchy and source is not cache
             else ""
         )
@@ -526,7 +526,7 @@
             if self.usable(n, get) and self.in_token_scope(get, n)
         ]
         if self.hierarchy:  # a cache that the hierarchy does not contain has no known sources
-            candidates = [n for n in candidates if self.hierarchy.has(n.name)]
+            candidates = [n for n in candidates if self.hierarchy.contains(n.name)]
         elif not candidates and self.config.allows_direct:
             candidates = [n for n in self.usable_sources(get) if self.in_token_scope(get, n)]
         spills = candidates and self.load(candidates[0]) >= self.spill_threshold
@@ -547,7 +547,7 @@
         if self.hierarchy:
             hash_point, names = hash_fraction(get.hash, 0), [n.name for n in sources]
             sources = [
-                self.nodes[name] for name in self.hierarchy.among(self.now, cache.name, hash_point, names)
+                self.nodes[name] for name in self.hierarchy.eligible_sources(self.now, cache.name, hash_point, names)
             ]
         return next(iter(sources), cache)
 
@@ -567,7 +567,7 @@
         """Returns whether the node's breaker allows a forward and, for a trial, whether it is our turn."""
         old_state, allowed = node.breaker.state, node.breaker.allows(self.now)
         if self.peers and allowed and node.breaker.state == "Half-Open":
-            allowed = self.peers.turn(self.now, node.peer_id, node.is_local, node.breaker.until)
+            allowed = self.peers.may_try(self.now, node.peer_id, node.is_local, node.breaker.until)
         if node.breaker.state != old_state:
             self.actions.append(i.Trace(f"{node.role} {node.name} Half-Open"))
         return allowed
@@ -655,7 +655,7 @@
         is_parent = node.role == "parent"
         multiple = config.parent_cold_multiple if is_parent else config.cold_multiple
         own_share = 1 / (config.gateways if is_parent else config.location_gateways)
-        capacity = node.entry.capacity * (self.peers.part(self.now, not is_parent) if self.peers else own_share)
+        capacity = node.entry.capacity * (self.peers.limit_share(self.now, not is_parent) if self.peers else own_share)
         # unknown capacity: use the load this gateway puts on warm nodes of the same role
         if not self.units_known:
             warm_nodes = [n for n in (self.parents if is_parent else self.caches) if self.warm_share(n) >= 1]
@@ -735,9 +735,9 @@
         """Records an outcome in the node's breaker, and reports it to the peers and the hierarchy."""
         half_open = trial and node.breaker.state == "Half-Open"
         if self.peers and half_open:
-            self.peers.tried(self.now, node.peer_id, node.is_local, weight < 1)
+            self.peers.trial_ended(self.now, node.peer_id, node.is_local, weight < 1)
             if self.hierarchy:
-                self.hierarchy.saw(self.now, node.name, weight >= 1)
+                self.hierarchy.record_fill(self.now, node.name, weight >= 1)
         else:
             self.report_outcome(node, weight >= 1)
         self.breaker_changed(node, node.breaker.record(self.now, weight, trial))
@@ -745,16 +745,16 @@
     def report_outcome(self, node: Node, failed: bool) -> None:
         """Reports an outcome at the node to the peers and the hierarchy."""
         if self.peers:
-            self.peers.saw(self.now, node.peer_id, node.is_local, failed)
+            self.peers.record_outcome(self.now, node.peer_id, node.is_local, failed)
         if self.hierarchy:
-            self.hierarchy.saw(self.now, node.name, failed)
+            self.hierarchy.record_fill(self.now, node.name, failed)
 
     def breaker_changed(self, node: Node, new_state: str) -> None:
         """Traces a new breaker state and reports it to the hierarchy; does nothing for an empty string."""
         if new_state:
             self.actions.append(i.Trace(f"{node.role} {node.name} {new_state}", node.breaker.open_evidence))
             if self.hierarchy:
-                self.hierarchy.turned(node.name, new_state)
+                self.hierarchy.breaker_changed(node.name, new_state)
 
     def may_open(self, node: Node) -> bool:
         """Returns whether a peer verdict may open the node: never the last source that is Closed."""
@@ -849,7 +849,7 @@
         if event.result == "returned" and not filled:
             forward.cost[1] = 0.0  # a hit put no load on the source and says nothing about it
             if self.hierarchy:
-                self.hierarchy.unspent(forward.cache.name, source.name, forward.budget)
+                self.hierarchy.refund_fill(forward.cache.name, source.name, forward.budget)
         late = event.duration > service.config.objective + service.config.objective_per_transfer * (
             forward.get.transfer_time or service.mean_transfer
         )
--- a/damsonstream/tiers/service.py
+++ b/damsonstream/tiers/service.py
@@ -48,13 +48,13 @@
     @property
     def zones(self) -> ZoneTracker | None: ...
 
-    def follow(self, now: int, zones: dict[str, float]) -> None:
+    def set_zones(self, now: int, zones: dict[str, float]) -> None:
         """Sets the zones of the file, each with the seconds of its ramp."""
 
     # the share of a zone's own objects that its hubs are asked for
-    def zone_carries(self, now: int, zone: str) -> float: ...
+    def zone_home_share(self, now: int, zone: str) -> float: ...
 
-    def zone_saw(
+    def observe_zone(
         self, now: int, zone: str, failing: bool, own: bool, answered: bool, hubs: list[str]
     ) -> None:
         """Records what this gateway observed of a zone since the last call.
@@ -65,11 +65,11 @@
     def zone_state(self, now: int, zone: str) -> tuple[str, int, int]:
         """Returns the state, the completed twentieths of a return, and the flaps."""
 
-    def dead(self, hub: str) -> bool:
+    def hub_is_dead(self, hub: str) -> bool:
         """Returns whether enough gateways observed nothing but failures of the hub."""
 
     # this gateway's share of a budget of the whole fleet, or of its own location (`home`)
-    def part(self, now: int, home: bool) -> float: ...
+    def limit_share(self, now: int, home: bool) -> float: ...
 
 
 class LocalCoordinator:
@@ -78,13 +78,13 @@
     def __init__(self, gateways: int) -> None:
         self.gateways, self.zones = max(1, gateways), ZoneTracker(quorum=1)
 
-    def follow(self, now: int, zones: dict[str, float]) -> None:
+    def set_zones(self, now: int, zones: dict[str, float]) -> None:
         self.zones.set_zones(zones, now / SECOND)
 
-    def zone_carries(self, now: int, zone: str) -> float:
+    def zone_home_share(self, now: int, zone: str) -> float:
         return self.zones.home_share(zone, now / SECOND)
 
-    def zone_saw(
+    def observe_zone(
         self, now: int, zone: str, failing: bool, own: bool, answered: bool, hubs: list[str]
     ) -> None:
         self.zones.observe(zone, failing, 0, 0, now / SECOND, answered, own)
@@ -96,10 +96,10 @@
         status = self.zones.views[zone].status
         return self.zones.state(zone, now / SECOND), status.progress, status.flaps
 
-    def dead(self, hub: str) -> bool:
+    def hub_is_dead(self, hub: str) -> bool:
         return False
 
-    def part(self, now: int, home: bool) -> float:
+    def limit_share(self, now: int, home: bool) -> float:
         return 1 / self.gateways
 
 
@@ -148,7 +148,7 @@
             previous, self.spill = self.spill, SpillPolicy(topology, self.phase)
             self.spill.buckets |= {n: b for n, b in previous.buckets.items() if n in self.spill.buckets}
             self.spill.spilled, self.spill.unplaced = previous.spilled, previous.unplaced
-            self.coordinator.follow(now, {name: zone.ramp for name, zone in sorted(topology.zones.items())})
+            self.coordinator.set_zones(now, {name: zone.ramp for name, zone in sorted(topology.zones.items())})
             self.observations = {
                 name: self.observations.get(name, ZoneObservation()) for name in topology.zones
             }
@@ -183,11 +183,11 @@
 
     # called by the router (routing/interface.py, Tiers)
 
-    def has(self, cache: str) -> bool:
+    def contains(self, cache: str) -> bool:
         """Returns whether the file states the cache's sources."""
         return cache in self.sources_by_cache
 
-    def among(self, now: int, cache: str, hash_point: float, sources: list[str]) -> list[str]:
+    def eligible_sources(self, now: int, cache: str, hash_point: float, sources: list[str]) -> list[str]:
         """Returns those of the `sources` that may fill an object of the cache, in the order to try them.
 
         `hash_point` is the object's hash (0 to 1); `sources` are usable ones in hash order."""
@@ -196,24 +196,24 @@
             return []
         allowed, zone_by_hub = [name for name in sources if name in file_sources], self.zone_by_hub
         home_hubs = [name for name in allowed if zone_by_hub.get(name) == home]
-        if home_hubs and (not self.bounded or hash_point < self.coordinator.zone_carries(now, home)):
+        if home_hubs and (not self.bounded or hash_point < self.coordinator.zone_home_share(now, home)):
             return home_hubs  # most GETs end here, without looking at other zones
         vault = [name for name in allowed if name in self.vaults]
-        gateway_share, at = self.coordinator.part(now, False), now / SECOND
+        gateway_share, at = self.coordinator.limit_share(now, False), now / SECOND
         self.local_zones.add(home)
         if not self.bounded:
             zones = [home, *self.spill.spill_order(home)]
         else:
             zones = self.spill.candidate_zones(
-                home, hash_point, lambda zone: self.coordinator.zone_carries(now, zone), gateway_share, at
+                home, hash_point, lambda zone: self.coordinator.zone_home_share(now, zone), gateway_share, at
             )
             self.shield.share = gateway_share
             vault = [name for name in vault if self.shield.has_token(at)]
         selected = [name for zone in zones for name in allowed if zone_by_hub.get(name) == zone]
         if home not in zones:
-            lost = self.coordinator.zone_carries(now, home) < FIRST_SHARE  # a returning zone has its ramp
+            lost = self.coordinator.zone_home_share(now, home) < FIRST_SHARE  # a returning zone has its ramp
             probe = lost and self.trial_bucket(home).has_token(
-                TRIAL_RATE * self.coordinator.part(now, True),
+                TRIAL_RATE * self.coordinator.limit_share(now, True),
                 at,
             )
             selected = [
@@ -231,7 +231,7 @@
             observation.trial_bucket = TokenBucket(self.phase)
         return observation.trial_bucket
 
-    def sent(self, now: int, cache: str, source: str) -> str:
+    def charge_fill(self, now: int, cache: str, source: str) -> str:
         """Charges a fill that is sent; returns the budget that it was charged to, for `unspent`."""
         cache_node, source_node = self.topology.nodes.get(cache), self.topology.nodes.get(source)
         if cache_node is None or source_node is None:
@@ -242,12 +242,12 @@
         if source_node.zone != cache_node.zone:
             self.spill.charge(cache_node.zone, source_node.zone)
             return SPILL_BUDGET
-        if self.coordinator.zone_carries(now, cache_node.zone) < FIRST_SHARE and source not in self.tripped:
+        if self.coordinator.zone_home_share(now, cache_node.zone) < FIRST_SHARE and source not in self.tripped:
             self.trial_bucket(cache_node.zone).tokens -= 1.0
             return TRIAL_BUDGET
         return ""
 
-    def unspent(self, cache: str, source: str, paid: str) -> None:
+    def refund_fill(self, cache: str, source: str, paid: str) -> None:
         """Refunds a fill that did not reach the source, since the copy was in the cache."""
         cache_node, source_node = self.topology.nodes.get(cache), self.topology.nodes.get(source)
         if paid == VAULT_BUDGET:
@@ -257,7 +257,7 @@
         elif cache_node is not None and paid == TRIAL_BUDGET:
             self.trial_bucket(cache_node.zone).tokens += 1.0
 
-    def saw(self, now: int, source: str, bad: bool) -> None:
+    def record_fill(self, now: int, source: str, bad: bool) -> None:
         """Records how a fill from a source ended."""
         source_node = self.topology.nodes.get(source)
         if source_node is None or source_node.role == CACHE:
@@ -271,7 +271,7 @@
             if source_node.zone not in self.local_zones:
                 self.spill.buckets[source_node.zone].record_result(not bad)
 
-    def turned(self, source: str, state: str) -> None:
+    def breaker_changed(self, source: str, state: str) -> None:
         """Records the new state of a source's breaker."""
         if state == "Closed":
             self.tripped.discard(source)
@@ -288,7 +288,7 @@
         failing = [
             n
             for n in hubs
-            if n in self.tripped and (self.failure_runs[n] >= FAILURE_RUN or self.coordinator.dead(n))
+            if n in self.tripped and (self.failure_runs[n] >= FAILURE_RUN or self.coordinator.hub_is_dead(n))
         ]
         return len(failing) > MAX_FAILING_SHARE * len(hubs)
 
@@ -301,6 +301,6 @@
                 False,
                 False,
             )
-            self.coordinator.zone_saw(
+            self.coordinator.observe_zone(
                 now, zone, self.most_hubs_failing(zone), failed, answered, self.hubs_by_zone.get(zone, [])
             )
--- a/damsonstream/transport/front.py
+++ b/damsonstream/transport/front.py
@@ -31,7 +31,7 @@
 class OpenGet(Protocol):
     """A GET that is being processed."""
 
-    def left(self) -> None: ...  # called when the client has disconnected or aborted the GET
+    def client_left(self) -> None: ...  # called when the client has disconnected or aborted the GET
 
 
 Answer = Callable[[bytes], None]  # takes the encoded FastCGI answer
@@ -41,7 +41,7 @@
 class NoOpenGet:
     """Placeholder in `Client.open_gets` until the opener has returned."""
 
-    def left(self) -> None:
+    def client_left(self) -> None:
         pass
 
 
@@ -78,7 +78,7 @@
                         self.handle_get(message)
                     case fastcgi.RequestAborted(id=id):
                         if (open_get := self.open_gets.pop(id, None)) is not None:
-                            open_get.left()
+                            open_get.client_left()
                             self.decoder.release_id(id)
                             self.send(fastcgi.end_request(id))
                     case fastcgi.ManagementReply(data=reply):
@@ -111,7 +111,7 @@
     def handle_close(self) -> None:
         open_gets, self.open_gets = self.open_gets, {}
         for open_get in open_gets.values():
-            open_get.left()
+            open_get.client_left()
         self.listener.remove(self)
         fields = {
             "side": "client",
--- a/damsonstream/virtual/fleet.py
+++ b/damsonstream/virtual/fleet.py
@@ -97,7 +97,7 @@
         agent = PeerAgent(f"n{index}", index, self.count, index % self.location_count, location_size,
                         1000 + self.now // 1000 + boot_count, self.message_cost, self.rng.getrandbits(32),
                         self.now + clock_offset, self.features)  # fmt: skip
-        agent.listed((), tuple(self.sources))
+        agent.nodes_listed((), tuple(self.sources))
         return agent
 
     def start_loops(self, gateway: Gateway) -> None:
@@ -196,7 +196,7 @@
         breaker = gateway.breakers[source_index]
         ready = self.now >= breaker.retry_at and not breaker.trying
         cooldown_end = breaker.retry_at + gateway.clock_offset
-        return ready and gateway.agent.turn(local, self.sources[source_index], False, cooldown_end)
+        return ready and gateway.agent.may_try(local, self.sources[source_index], False, cooldown_end)
 
     def send_get(self, gateway: Gateway, agent: PeerAgent) -> None:
         """Simulates a GET, and a fill where it needs one, and schedules the next GET."""
@@ -206,7 +206,7 @@
         if self.now < gateway.stalled_until:
             return
         local = self.now + gateway.clock_offset
-        agent.asked(local)
+        agent.get_received(local)
         if self.rng.random() >= self.fills_per_get:
             return
         source_index = self.rng.randrange(len(self.sources))
@@ -216,7 +216,7 @@
             if not self.may_try(gateway, source_index, local):
                 return  # the fill goes to another source, which is not simulated
             breaker.trying = True
-            agent.trying(local, source, False)
+            agent.trial_started(local, source, False)
         succeeds = not self.is_dead_for(gateway.index, source_index)
         self.wasted_fills += not succeeds
         if is_trial:
@@ -239,14 +239,14 @@
             if not breaker.trying:
                 return  # a verdict of the fleet has decided meanwhile
             breaker.trying, breaker.retry_at = False, self.now + TRIAL_SPACING
-            agent.tried(local, source, False, succeeded)
+            agent.trial_ended(local, source, False, succeeded)
             breaker.successes = breaker.successes + 1 if succeeded else 0
             if not succeeded:
                 self.open_breaker(breaker)
             elif breaker.successes >= 2:
                 breaker.open, breaker.failures = False, 0
             return
-        agent.saw(local, source, False, not succeeded)
+        agent.record_outcome(local, source, False, not succeeded)
         breaker.failures = 0 if succeeded else breaker.failures + 1
         if breaker.failures >= FAILURES_TO_OPEN and not breaker.open:
             self.open_breaker(breaker)
@@ -259,11 +259,11 @@
 
         def sample() -> None:
             running = [g for g in self.gateways if g.alive]
-            fleet_sum = sum(g.agent.part(self.now + g.clock_offset, False) for g in running)
+            fleet_sum = sum(g.agent.limit_share(self.now + g.clock_offset, False) for g in running)
             by_location: dict[int, float] = {}
             for g in running:
                 location = g.index % self.location_count
-                by_location[location] = by_location.get(location, 0.0) + g.agent.part(
+                by_location[location] = by_location.get(location, 0.0) + g.agent.limit_share(
                     self.now + g.clock_offset, True
                 )
             self.max_share_sum["far"] = max(self.max_share_sum["far"], fleet_sum)
@@ -279,5 +279,5 @@
 
     def fairness(self) -> float:
         """Returns Jain's fairness index of the shares divided by demand: 1 if all are in proportion."""
-        shares = [g.agent.part(self.now + g.clock_offset, False) / g.demand for g in self.gateways if g.alive]
+        shares = [g.agent.limit_share(self.now + g.clock_offset, False) / g.demand for g in self.gateways if g.alive]
         return sum(shares) ** 2 / (len(shares) * sum(x * x for x in shares))
--- a/damsonstream/virtual/zones.py
+++ b/damsonstream/virtual/zones.py
@@ -82,7 +82,7 @@
 
     def new_agent(self, index: int, clock_offset: int, boot_count: int = 1) -> PeerAgent:
         agent = super().new_agent(index, clock_offset, boot_count)
-        agent.listed((), tuple(source_id(name) for name in self.hubs))
+        agent.nodes_listed((), tuple(source_id(name) for name in self.hubs))
         zone_view = agent if self.mode in ("common", "never") else LocalCoordinator(self.count)
         now = self.now + clock_offset
         service = self.services[index] = SourceSelector(zone_view, index, now, self.mode != "no limit")
@@ -120,7 +120,7 @@
         """Notifies the `tiers` service if a breaker has opened or closed."""
         if breaker.open != was_open:
             state = "Open" if breaker.open else "Closed"
-            self.services[gateway.index].turned(self.hubs[source_index], state)
+            self.services[gateway.index].breaker_changed(self.hubs[source_index], state)
 
     def usable_sources(self, gateway: Gateway, local: int) -> Iterable[str]:
         """Yields the hubs whose breakers let this gateway use them now, then the vault."""
@@ -137,14 +137,14 @@
         if self.now < gateway.stalled_until:
             return
         local, own_zone = self.now + gateway.clock_offset, self.zone_of(gateway.index)
-        agent.asked(local)
+        agent.get_received(local)
         service, cache = self.services[gateway.index], f"{own_zone}-c"
-        allowed = service.among(local, cache, self.rng.random(), list(self.usable_sources(gateway, local)))
+        allowed = service.eligible_sources(local, cache, self.rng.random(), list(self.usable_sources(gateway, local)))
         if not allowed:
             self.fills.append(Fill(self.now, own_zone, ""))
             return
         name = allowed[0]
-        service.sent(local, cache, name)
+        service.charge_fill(local, cache, name)
         if name == "vault":
             self.fills.append(Fill(self.now, own_zone, "vault"))
             return
@@ -153,7 +153,7 @@
         is_trial = gateway.breakers[source_index].open
         if is_trial:
             gateway.breakers[source_index].trying = True
-            agent.trying(local, self.sources[source_index], False)
+            agent.trial_started(local, self.sources[source_index], False)
         succeeds = name not in self.lost_hubs
         self.after(20 * MS if succeeds else FILL_TIMEOUT,
                    lambda: self.fill_ended(gateway, agent, source_index, is_trial, succeeds))  # fmt: skip
@@ -163,7 +163,7 @@
     ) -> None:
         breaker, was_open = gateway.breakers[source_index], gateway.breakers[source_index].open
         if self.is_current(gateway, agent):
-            self.services[gateway.index].saw(
+            self.services[gateway.index].record_fill(
                 self.now + gateway.clock_offset, self.hubs[source_index], not succeeded
             )
         super().fill_ended(gateway, agent, source_index, is_trial, succeeded)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -160,7 +160,7 @@
                 if name == "returned":
                     harness.callbacks[-1](harness.returned())
                 else:
-                    get.left()
+                    get.client_left()
                 harness.now += 500
                 harness.gateway.handle_event(i.Woken())
                 harness.lines.append("second copy decided")
@@ -172,7 +172,7 @@
         async def scenario(harness: GatewayHarness) -> None:
             get = harness.get("left")
             await harness.settle()
-            get.left()
+            get.client_left()
             await harness.settle()
             await harness.end_forward(0, harness.returned())
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -352,7 +352,7 @@
         fleet.until(24 * S)
         self.assertLessEqual(max(fleet.max_share_sum.values()), 1.000001)
         local = fleet.now + busy.clock_offset
-        self.assertGreater(busy.agent.part(local, False), 2 / 20)  # more than twice the equal share
+        self.assertGreater(busy.agent.limit_share(local, False), 2 / 20)  # more than twice the equal share
         status = [g.agent.members.own_status(fleet.now + g.clock_offset) for g in fleet.gateways]
         self.assertGreaterEqual(status.count("well"), 18)
 
@@ -366,7 +366,7 @@
         agent.resize(2000, 8, 8)
         agent.receive(2000, 7, datagram(7, 3, wire.Heartbeat(7, 1000, 3, 0, 300)))
         self.assertEqual(sorted(agent.members.others), [7])
-        self.assertLessEqual(agent.part(2000, False), 1 / 8)
+        self.assertLessEqual(agent.limit_share(2000, False), 1 / 8)
 
     def test_a_lost_zone_returns_on_all_gateways_together(self) -> None:
         """Forty gateways, with a fifth of all datagrams lost; a tenth restart in the middle of the zone's
@@ -377,17 +377,17 @@
 
         def follow(index: int) -> None:
             gateway = fleet.gateways[index]
-            gateway.agent.follow(fleet.now + gateway.clock_offset, {"north": 20.0, "south": 20.0})
+            gateway.agent.set_zones(fleet.now + gateway.clock_offset, {"north": 20.0, "south": 20.0})
 
         def watch() -> None:
             for gateway in fleet.gateways:
                 local = fleet.now + gateway.clock_offset
-                gateway.agent.zone_saw(local, "north", not works, not works, works)
-                gateway.agent.zone_saw(local, "south", False, False, True)
+                gateway.agent.observe_zone(local, "north", not works, not works, works)
+                gateway.agent.observe_zone(local, "south", False, False, True)
             fleet.after(S // 4, watch)
 
         def carried(zone: str) -> list[float]:
-            return [g.agent.zone_carries(fleet.now + g.clock_offset, zone) for g in fleet.gateways]
+            return [g.agent.zone_home_share(fleet.now + g.clock_offset, zone) for g in fleet.gateways]
 
         for index in range(40):
             follow(index)
@@ -550,15 +550,15 @@
 
     share, turns = 0.25, True
 
-    def asked(self, now: int) -> None: ...
-    def listed(self, home: tuple[int, ...], far: tuple[int, ...]) -> None: ...
-    def anew(self, source: int) -> None: ...
-    def saw(self, now: int, source: int, home: bool, bad: bool) -> None: ...
-    def trying(self, now: int, source: int, home: bool) -> None: ...
-    def tried(self, now: int, source: int, home: bool, good: bool) -> None: ...
+    def get_received(self, now: int) -> None: ...
+    def nodes_listed(self, home: tuple[int, ...], far: tuple[int, ...]) -> None: ...
+    def node_restarted(self, source: int) -> None: ...
+    def record_outcome(self, now: int, source: int, home: bool, bad: bool) -> None: ...
+    def trial_started(self, now: int, source: int, home: bool) -> None: ...
+    def trial_ended(self, now: int, source: int, home: bool, good: bool) -> None: ...
 
-    def turn(self, now: int, source: int, home: bool, since: int) -> bool:
+    def may_try(self, now: int, source: int, home: bool, since: int) -> bool:
         return self.turns
 
-    def part(self, now: int, home: bool) -> float:
+    def limit_share(self, now: int, home: bool) -> float:
         return self.share
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -64,7 +64,7 @@
         self.assertIsNone(self.service.apply(self.now, two_zones()))
 
     def among(self, cache: str = "c1", hash_point: float = 0.5, sources: list[str] = ALL) -> list[str]:
-        return self.service.among(self.now, cache, hash_point, sources)
+        return self.service.eligible_sources(self.now, cache, hash_point, sources)
 
     def run_for(self, seconds: float) -> None:
         for _ in range(int(seconds * 10)):
@@ -75,8 +75,8 @@
         """Lets north's hubs fail often and long enough for a loss."""
         for hub in ("p1", "p2"):
             for _ in range(FAILURE_RUN):
-                self.service.saw(self.now, hub, True)
-            self.service.turned(hub, "Open")
+                self.service.record_fill(self.now, hub, True)
+            self.service.breaker_changed(hub, "Open")
         self.run_for(DOUBT_S + 0.5)
 
     def state(self, zone: str = "north") -> str:
@@ -91,7 +91,7 @@
         self.assertEqual(self.among(sources=["p3", "o"]), ["p3", "o"])  # no home hub is usable
         self.assertEqual(self.among("c2"), ["p3"])
         self.assertEqual(self.among("c9"), [])  # not in the file
-        self.assertEqual((self.service.has("c1"), self.service.has("c9")), (True, False))
+        self.assertEqual((self.service.contains("c1"), self.service.contains("c9")), (True, False))
 
     def test_only_sources_that_are_in_the_file_and_not_drained(self) -> None:
         self.run_for(40)
@@ -114,23 +114,23 @@
             for _ in range(5):
                 if self.among(sources=["p1"]):
                     # its breaker is Open: the router's own trial
-                    self.assertEqual(self.service.sent(self.now, "c1", "p1"), "")
+                    self.assertEqual(self.service.charge_fill(self.now, "c1", "p1"), "")
                     tried += 1
         self.assertEqual(tried, 500)  # trials of the router's breaker are not limited here
-        self.service.turned("p1", "Closed")
-        self.service.turned("p2", "Closed")
+        self.service.breaker_changed("p1", "Closed")
+        self.service.breaker_changed("p2", "Closed")
         self.run_for(0.1)
         tried = 0
         for _ in range(100):
             self.run_for(0.1)
             for _ in range(5):
                 if self.among(sources=["p1"]):
-                    self.assertEqual(self.service.sent(self.now, "c1", "p1"), TRIAL_BUDGET)
+                    self.assertEqual(self.service.charge_fill(self.now, "c1", "p1"), TRIAL_BUDGET)
                     tried += 1
         self.assertLessEqual(tried, TRIAL_RATE * 10 + TRIAL_RATE)
         self.assertGreaterEqual(tried, TRIAL_RATE * 9)
         for _ in range(TRIALS_TO_RETURN):
-            self.service.saw(self.now, "p1", False)
+            self.service.record_fill(self.now, "p1", False)
             self.run_for(0.1)
         self.assertEqual(self.state(), RETURNING)
         shares = []
@@ -144,17 +144,17 @@
     def test_partly_failing_hubs_are_not_a_loss(self) -> None:
         for _ in range(8):
             for hub in ("p1", "p2"):
-                self.service.saw(self.now, hub, True)
-                self.service.saw(self.now, hub, False)
+                self.service.record_fill(self.now, hub, True)
+                self.service.record_fill(self.now, hub, False)
         for hub in ("p1", "p2"):
-            self.service.turned(hub, "Open")  # at half the fills failing
+            self.service.breaker_changed(hub, "Open")  # at half the fills failing
         self.run_for(5)
         self.assertEqual(self.state(), WELL)
 
     def test_answers_of_caches_do_not_end_the_loss_of_their_zone(self) -> None:
         self.lose_north()
         for _ in range(50):
-            self.service.saw(self.now, "c1", False)
+            self.service.record_fill(self.now, "c1", False)
             self.run_for(0.1)
         self.assertEqual(self.state(), LOST)
 
@@ -164,26 +164,26 @@
         self.among()
         self.run_for(2)
         self.assertEqual(self.among(sources=["p3"]), ["p3"])
-        paid = [self.service.sent(self.now, "c1", "p3") for _ in range(10)]
+        paid = [self.service.charge_fill(self.now, "c1", "p3") for _ in range(10)]
         self.assertEqual(set(paid), {SPILL_BUDGET})
         self.assertEqual(self.among(sources=["p3"]), [])  # the spill limit of south for a second is used up
         for budget in paid:
-            self.service.unspent("c1", "p3", budget)
+            self.service.refund_fill("c1", "p3", budget)
         self.assertEqual(self.among(sources=["p3"]), ["p3"])
         while self.among(sources=["o"]):
-            paid = [self.service.sent(self.now, "c1", "o")]
-        self.service.unspent("c1", "o", paid[0])
+            paid = [self.service.charge_fill(self.now, "c1", "o")]
+        self.service.refund_fill("c1", "o", paid[0])
         self.assertEqual((paid, self.among(sources=["o"])), ([VAULT_BUDGET], ["o"]))
 
     def test_a_zone_that_fails_spilled_fills_gets_fewer(self) -> None:
         self.lose_north()
         for _ in range(40):
-            self.service.saw(self.now, "p3", True)
+            self.service.record_fill(self.now, "p3", True)
         fills = 0
         for _ in range(100):
             self.run_for(0.1)
             while self.among(sources=["p3"]):
-                self.service.sent(self.now, "c1", "p3")
+                self.service.charge_fill(self.now, "c1", "p3")
                 fills += 1
         self.assertLess(fills, 0.2 * 10 * 10)
 
@@ -210,13 +210,13 @@
         other.apply(self.now, moved)
         for service, allowed in ((self.service, {"p1", "p2", "p3", "o"}), (other, {"p1", "o"})):
             for n in range(40):
-                self.assertLessEqual(set(service.among(self.now + n * S, "c1", n / 40, ALL)), allowed)
+                self.assertLessEqual(set(service.eligible_sources(self.now + n * S, "c1", n / 40, ALL)), allowed)
 
     def test_without_limits_the_file_only_sets_the_order(self) -> None:
         plain = SourceSelector(LocalCoordinator(1), 0, self.now, bounded=False)
         plain.apply(self.now, two_zones())
-        self.assertEqual(plain.among(self.now, "c1", 0.9, ALL), ["p2", "p1"])
-        self.assertEqual(plain.among(self.now, "c1", 0.9, ["p3", "o"]), ["p3", "o"])
+        self.assertEqual(plain.eligible_sources(self.now, "c1", 0.9, ALL), ["p2", "p1"])
+        self.assertEqual(plain.eligible_sources(self.now, "c1", 0.9, ["p3", "o"]), ["p3", "o"])
 
     @settings(max_examples=60)
     @given(st.lists(st.tuples(
@@ -229,17 +229,17 @@
         for name, what, tenths in steps:
             now += tenths * S // 10
             if what in ("bad", "good"):
-                service.saw(now, name, what == "bad")
+                service.record_fill(now, name, what == "bad")
             elif what in ("Open", "Closed"):
-                service.turned(name, what)
+                service.breaker_changed(name, what)
             elif what in ("leaving", "active"):
                 service.set_node_state(name, what)
-            found = service.among(now, "c1", 0.3, ALL)
+            found = service.eligible_sources(now, "c1", 0.3, ALL)
             self.assertLessEqual(set(found), set(ALL) & set(service.topology.nodes))
             self.assertEqual(len(found), len(set(found)))
             if found:
-                paid = service.sent(now, "c1", found[0])
-                service.unspent("c1", found[0], paid)
+                paid = service.charge_fill(now, "c1", found[0])
+                service.refund_fill("c1", found[0], paid)
             service.tick(now)
             self.assertIn(service.coordinator.zone_state(now, "north")[0],
                           (*RANK, "Doubted", "Lost here", "Cut off"))  # fmt: skip
