--- a/benchmarks/recording.py
+++ b/benchmarks/recording.py
@@ -19,7 +19,7 @@
 import anyio
 
 from damsonstream.demo import scenario
-from damsonstream.demo.play import Play
+from damsonstream.demo.play import DemoRun
 from damsonstream.standins import clients, servers, wire
 
 TICK = os.sysconf("SC_CLK_TCK")
@@ -37,40 +37,40 @@
 
     with tempfile.TemporaryDirectory() as holder:
         folder = Path(holder)
-        play = Play(settings, folder, folder / "records", seed)
+        play = DemoRun(settings, folder, folder / "records", seed)
         (folder / "records").mkdir()
         if not recording:
-            write = play.fleet.write
+            write = play.fleet.write_config
 
             def write_without_records(name: str) -> tuple[Path, Path]:
                 config, operator = write(name)
                 operator.write_text("// all off\n")
                 return config, operator
 
-            play.fleet.write = write_without_records  # type: ignore[method-assign]
-        original_obey = servers.CacheLink.obey
+            play.fleet.write_config = write_without_records  # type: ignore[method-assign]
+        original_obey = servers.CacheConnection.handle_command
 
-        def record_arrival(self: servers.CacheLink, command: wire.Command) -> None:
-            arrivals.setdefault(command.ident.decode(), play.world.now())
+        def record_arrival(self: servers.CacheConnection, command: wire.Command) -> None:
+            arrivals.setdefault(command.ident.decode(), play.stand_ins.now())
             original_obey(self, command)
 
-        servers.CacheLink.obey = record_arrival  # type: ignore[method-assign]
+        servers.CacheConnection.handle_command = record_arrival  # type: ignore[method-assign]
         cpu_times: dict[str, float] = {}
         stop = play.fleet.stop
 
         async def measure_and_stop() -> dict[str, int]:
-            cpu_times["cpu"] = cpu_seconds(play.fleet.running["n1"].pid) - cpu_times["start"]
+            cpu_times["cpu"] = cpu_seconds(play.fleet.processes["n1"].pid) - cpu_times["start"]
             return await stop()
 
-        def measure_start(_: Play) -> None:
+        def measure_start(_: DemoRun) -> None:
             # Measured after startup, to exclude the cost of loading what records need.
-            cpu_times.setdefault("start", cpu_seconds(play.fleet.running["n1"].pid))
+            cpu_times.setdefault("start", cpu_seconds(play.fleet.processes["n1"].pid))
 
         play.fleet.stop = measure_and_stop  # type: ignore[method-assign]
         try:
             truth = anyio.run(play.run, measure_start, backend_options={"use_uvloop": True})
         finally:
-            servers.CacheLink.obey = original_obey  # type: ignore[method-assign]
+            servers.CacheConnection.handle_command = original_obey  # type: ignore[method-assign]
     waits = sorted((arrivals[one.ident] - one.sent) * 1000 for one in truth.tries if one.ident in arrivals)
     count = len(truth.tries)
     return {
@@ -91,7 +91,7 @@
     parser.add_argument("--seconds", type=float, default=8)
     parser.add_argument("--rounds", type=int, default=3)
     options = parser.parse_args()
-    clients.MOST_OPEN = 20_000
+    clients.MAX_OPEN_GETS = 20_000
     results: dict[bool, list[dict[str, float]]] = {False: [], True: []}
     for round_number in range(options.rounds):
         for on in (False, True):
--- a/damsonstream/demo/check.py
+++ b/damsonstream/demo/check.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from damsonstream.demo.play import Happened, Truth
+from damsonstream.demo.play import ExecutedStep, Truth
 
 PHASE_TOLERANCE = 1.0  # seconds by which the start or end of a phase may differ
 # Seconds before a kill in which records may be lost: the interval between writes, plus the delay of a busy
@@ -58,12 +58,12 @@
     sent = {get.ident: get for get in truth.tries}
     kills: dict[str, list[float]] = {}
     for gateway, at in truth.kills:
-        kills.setdefault(gateway, []).append(at - truth.began)
+        kills.setdefault(gateway, []).append(at - truth.start)
     for ident in recorded.keys() - sent.keys():
         differences.append(f"GET {ident} is recorded, and no viewer sent it")
     for ident, get in sent.items():
         entry = recorded.get(ident)
-        ended = get.sent + get.took
+        ended = get.sent + get.duration
         maybe_unwritten = any(
             at - MAX_UNWRITTEN_AGE <= ended and get.sent <= at for at in kills.get(get.gateway, ())
         )
@@ -88,12 +88,12 @@
     return shown + ([f"and {len(differences) - 20} GETs more"] if len(differences) > 20 else [])
 
 
-def phase_subject(executed: Happened, truth: Truth) -> str:
+def phase_subject(executed: ExecutedStep, truth: Truth) -> str:
     step = executed.step
     return f"gateway {step.to}" if step.does == "kill" else truth.uids.get(step.to, "")
 
 
-def is_unused(executed: Happened, truth: Truth) -> bool:
+def is_unused(executed: ExecutedStep, truth: Truth) -> bool:
     """Returns whether the node was drained when the step began, so that its failure need not be noticed."""
     step = executed.step
     return step.does != "drain" and any(
--- a/damsonstream/demo/figures.py
+++ b/damsonstream/demo/figures.py
@@ -9,40 +9,40 @@
 from collections.abc import Sequence
 from typing import Any
 
-from damsonstream.standins.traffic import Offer
+from damsonstream.standins.traffic import ServiceProfile
 
-OFFERS = (
-    Offer("pages", 0.6, 900, 0.9, 12_000, 3000),
-    Offer("covers", 0.3, 500, 1.0, 4_000, 1500),
-    Offer("unlock", 0.1, 400, 0.7, 400, 3000, tokened=True),
+PROFILES = (
+    ServiceProfile("pages", 0.6, 900, 0.9, 12_000, 3000),
+    ServiceProfile("covers", 0.3, 500, 1.0, 4_000, 1500),
+    ServiceProfile("unlock", 0.1, 400, 0.7, 400, 3000, tokened=True),
 )
-REMEMBERED = 3.0  # seconds for which the origin remembers a token
+TOKEN_TTL = 3.0  # seconds for which the origin remembers a token
 
 
-def service_settings(profile: Offer) -> dict[str, Any]:
+def service_settings(profile: ServiceProfile) -> dict[str, Any]:
     result: dict[str, Any] = {
         "name": profile.name, "onTime": 400_000, "aimStretch": 1.0,
-        "hardLimit": profile.patience_ms * 1000, "worth": 2.0 if profile.tokened else 1.0,
+        "hardLimit": profile.viewer_timeout_ms * 1000, "worth": 2.0 if profile.tokened else 1.0,
         "lateShare": 0.15, "idempotency": "idempotent",
     }  # fmt: skip
     if profile.tokened:
-        result |= {"idempotency": "deduplicated", "keyScope": "all", "dedupWindow": int(REMEMBERED * 1e6)}
+        result |= {"idempotency": "deduplicated", "keyScope": "all", "dedupWindow": int(TOKEN_TTL * 1e6)}
     return result
 
 
-def settings(gateways: int, models: Sequence[str], locations: Sequence[str]) -> dict[str, Any]:
+def gateway_settings(gateways: int, models: Sequence[str], locations: Sequence[str]) -> dict[str, Any]:
     return {
         "balancers": gateways,
         "kinds": list(models),
         "zones": list(locations),
         "myZone": locations[0],
-        "lanes": [service_settings(profile) for profile in OFFERS],
+        "lanes": [service_settings(profile) for profile in PROFILES],
         "familyInfo": {
             "shieldKind": 1,
             "masterKind": 2,
-            "maxAge": [0] * len(OFFERS),
-            "usableAfter": [0] * len(OFFERS),
-            "passOn": [offer.tokened for offer in OFFERS],
+            "maxAge": [0] * len(PROFILES),
+            "usableAfter": [0] * len(PROFILES),
+            "passOn": [offer.tokened for offer in PROFILES],
             "says": "all",
             "joins": True,
             "clientKbPerS": 40_000.0,
--- a/damsonstream/demo/fleet.py
+++ b/damsonstream/demo/fleet.py
@@ -71,10 +71,10 @@
         self.folder, self.records_folder, self.names, self.config_for = folder, records, names, config_for
         self.clocks = {clock.gateway: clock for clock in clocks}
         self.addresses = {name: (LOOPBACK, free_port()) for name in names}
-        self.running: dict[str, subprocess.Popen[bytes]] = {}
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.start_counts = {name: 0 for name in names}
 
-    def write(self, name: str) -> tuple[Path, Path]:
+    def write_config(self, name: str) -> tuple[Path, Path]:
         """Writes a gateway's configuration and its operator file."""
         host, port = self.addresses[name]
         contents = {"name": name, "listen": f"{host}:{port}",
@@ -89,15 +89,15 @@
 
     async def start(self, name: str) -> None:
         self.start_counts[name] += 1
-        config_path, operator_path = self.write(name)
+        config_path, operator_path = self.write_config(name)
         with (self.folder / f"{name}.log").open("ab") as log:
-            self.running[name] = subprocess.Popen(
+            self.processes[name] = subprocess.Popen(
                 [*base_command(), "serve", "--config", str(config_path), "--operator", str(operator_path)],
                 stdout=log, stderr=log, stdin=subprocess.DEVNULL, start_new_session=True,
             )  # fmt: skip
         deadline = time.monotonic() + START_TIMEOUT
         while time.monotonic() < deadline:
-            if self.running[name].poll() is not None:
+            if self.processes[name].poll() is not None:
                 break
             try:
                 stream = await anyio.connect_tcp(*self.addresses[name])
@@ -109,42 +109,42 @@
         raise RuntimeError(f"gateway {name} did not start; see {self.folder / f'{name}.log'}")
 
     def kill(self, name: str) -> None:
-        self.running[name].send_signal(signal.SIGKILL)
-        self.running.pop(name).wait()
+        self.processes[name].send_signal(signal.SIGKILL)
+        self.processes.pop(name).wait()
 
     def pause(self, name: str) -> None:
         """Suspends a gateway, as if it got no CPU time, until `resume`."""
-        self.running[name].send_signal(signal.SIGSTOP)
+        self.processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        if name in self.running:
-            self.running[name].send_signal(signal.SIGCONT)
+        if name in self.processes:
+            self.processes[name].send_signal(signal.SIGCONT)
 
     def reload(self) -> None:
         """Makes all gateways reload their files (SIGHUP)."""
-        for process in self.running.values():
+        for process in self.processes.values():
             process.send_signal(signal.SIGHUP)
 
     async def stop(self) -> dict[str, int]:
         """Shuts all gateways down and returns their exit codes; those that exceed the timeout are killed."""
-        for process in self.running.values():
+        for process in self.processes.values():
             process.send_signal(signal.SIGTERM)
         deadline = time.monotonic() + STOP_TIMEOUT
         codes: dict[str, int] = {}
-        while self.running and time.monotonic() < deadline:
-            for name, process in list(self.running.items()):
+        while self.processes and time.monotonic() < deadline:
+            for name, process in list(self.processes.items()):
                 if (code := process.poll()) is not None:
                     codes[name] = code
-                    del self.running[name]
+                    del self.processes[name]
             await anyio.sleep(0.02)
-        for name in list(self.running):
+        for name in list(self.processes):
             self.kill(name)
             codes[name] = -signal.SIGKILL
         return codes
 
     def kill_all(self) -> None:
         """Kills all remaining processes, also after a failure of the run."""
-        for process in self.running.values():
+        for process in self.processes.values():
             if process.poll() is None:
                 os.kill(process.pid, signal.SIGKILL)
                 process.wait()
--- a/damsonstream/demo/scenario.py
+++ b/damsonstream/demo/scenario.py
@@ -11,8 +11,8 @@
 from damsonstream.settings import kdl
 from damsonstream.standins.faults import KINDS, Fault
 
-OWN = ("purge", "drain", "kill", "rate")  # actions other than faults of nodes
-LEAST, MOST = 4.0, 600.0  # seconds that a run may take
+CONTROL_KINDS = ("purge", "drain", "kill", "rate")  # actions other than faults of nodes
+MIN_DURATION, MAX_DURATION = 4.0, 600.0  # seconds that a run may take
 
 
 @dataclass(slots=True, frozen=True)
@@ -65,20 +65,20 @@
         ]
 
 
-def shipped() -> list[str]:
+def shipped_names() -> list[str]:
     """Returns the names of the shipped scenarios."""
     return kdl.shipped("damsonstream.demo", "scenarios")
 
 
 def load(name: str) -> Scenario:
-    return scenario(*kdl.find(name, "damsonstream.demo", "scenarios"))
+    return parse_scenario(*kdl.find(name, "damsonstream.demo", "scenarios"))
 
 
-def scenario(name: str, document: kdl.Section) -> Scenario:
+def parse_scenario(name: str, document: kdl.Section) -> Scenario:
     about = document.text("about", name)
-    lasts = document.span("lasts", 12.0, LEAST)
-    if lasts > MOST:
-        raise document.fault(f"lasts longer than {MOST:g} s", "lasts")
+    lasts = document.span("lasts", 12.0, MIN_DURATION)
+    if lasts > MAX_DURATION:
+        raise document.fault(f"lasts longer than {MAX_DURATION:g} s", "lasts")
     rate = document.number("rate", 120, 1, 2000)
     gateways = int(document.number("gateways", 3, 1, 32))
     caches, hubs = int(document.number("caches", 3, 1, 64)), int(document.number("hubs", 2, 1, 16))
@@ -105,8 +105,8 @@
     at, does = section.span("at", -1.0), section.text("does")
     if at < 0:
         raise section.fault("lacks the field at")
-    if does not in (*KINDS, *OWN):
-        raise section.fault(f"{does or 'nothing'} is none of {', '.join((*KINDS, *OWN))}", "does")
+    if does not in (*KINDS, *CONTROL_KINDS):
+        raise section.fault(f"{does or 'nothing'} is none of {', '.join((*KINDS, *CONTROL_KINDS))}", "does")
     to = section.text("to")
     valid_targets = [f"n{n + 1}" for n in range(gateways)] if does == "kill" else nodes
     if does in (*KINDS, "drain", "kill") and to not in valid_targets:
--- a/damsonstream/emulator/gateway.py
+++ b/damsonstream/emulator/gateway.py
@@ -321,8 +321,8 @@
 
     def send(self, get: ActiveGet, attempt: Attempt, forward: i.Forward) -> None:
         emulation, node = self.emulation, attempt.node
-        link = emulation.links.between(self.name, node.name, self.engine.now / S)
-        if link.broken:
+        link = emulation.links.condition(self.name, node.name, self.engine.now / S)
+        if link.reset:
             return self.schedule(ONE_WAY_DELAY, lambda: self.end_attempt(get, attempt, "unreached"))
         self.use_connection(node.name)
         key = (get.service, get.object_id, "0")
--- a/damsonstream/emulator/nodes.py
+++ b/damsonstream/emulator/nodes.py
@@ -18,13 +18,13 @@
 from damsonstream.protocol.resp import NOTE_CODES
 from damsonstream.routing import interface as i
 from damsonstream.standins import servers
-from damsonstream.standins.faults import Condition, Plan
-from damsonstream.standins.shelf import Copy, Effects, Key, Shelf
+from damsonstream.standins.faults import Condition, FaultPlan
+from damsonstream.standins.shelf import Copy, EffectLog, Key, CacheStore
 
 START_UNIX = 1_764_576_000 * S  # Unix time that all gateways' clocks show at the start of a run
 FOREVER = 3600 * S
-HIT_TIME, FILL_TIMEOUT, PURGE_TIME = int(servers.HIT * S), int(servers.LONGEST * S), int(servers.SETTLE * S)
-MODELS = servers.World.models
+HIT_TIME, FILL_TIMEOUT, PURGE_TIME = int(servers.HIT_TIME * S), int(servers.FILL_TIMEOUT * S), int(servers.PURGE_DELAY * S)
+MODELS = servers.StandIns.models
 MODEL_BY_ROLE = {"cache": "box", "hub": "hub", "vault": "vault"}
 STATES = ("active", "leaving", "left")
 DRAIN_GRACE = 1.0  # seconds after the notice of a drain, as in the settings of a script's run
@@ -60,7 +60,7 @@
     ) -> None:
         self.world, self.name, self.role, self.slots = world, name, role, slots
         self.uid, self.location, self.cell = f"s-{id:08x}", location, cell
-        self.store = Shelf(memory)
+        self.store = CacheStore(memory)
         self.semaphore = Semaphore(world.engine, slots)
         self.in_progress = 0
         self.fills: dict[Key, Signal] = {}  # removed as they end
@@ -93,7 +93,7 @@
         condition, rng = self.condition(), self.world.rng
         if condition.hang and rng.random() < condition.hang:
             yield FOREVER
-        if self.sheds(condition, self.in_progress < self.slots * (1 + servers.QUEUE)):
+        if self.sheds(condition, self.in_progress < self.slots * (1 + servers.QUEUE_FACTOR)):
             return Answer("shed")
         self.in_progress += 1
         try:
@@ -110,7 +110,7 @@
 
     def serve_copy(self, command: Command) -> Process[Answer]:
         world, engine = self.world, self.world.engine
-        copy, note, fill_time = self.store.find(command.key, world.unix_ms(), command.max_age_ms), "hit", 0
+        copy, note, fill_time = self.store.lookup(command.key, world.unix_ms(), command.max_age_ms), "hit", 0
         if copy is None:
             source = world.by_uid.get(command.source)
             if source is None:
@@ -122,7 +122,7 @@
                 result = {"src_lacks": "lacking", "src_refused": "shed"}.get(str(failure), "errored")
                 return Answer(result, note_code(str(failure)), engine.now - began)
             fill_time = engine.now - began
-        yield int(copy.size / servers.PACE * S)
+        yield int(copy.size / servers.BYTES_PER_SECOND * S)
         return Answer("returned", note_code(note), fill_time)
 
     def fill(self, command: Command, source: Node) -> Process[tuple[Copy, str]]:
@@ -155,7 +155,7 @@
                 copy, note = yield from provide
             except FillFailed as failure:
                 return end(str(failure))
-            self.store.keep(key, copy)
+            self.store.store(key, copy)
             end((copy, note))
 
         task = engine.spawn(run())
@@ -180,20 +180,20 @@
             raise FillFailed("src_broke")
         if condition.hang and rng.random() < condition.hang:
             yield FOREVER
-        if self.sheds(condition, self.in_progress <= self.slots * (1 + servers.QUEUE)):
+        if self.sheds(condition, self.in_progress <= self.slots * (1 + servers.QUEUE_FACTOR)):
             raise FillFailed("src_refused")
         self.in_progress += 1
         try:
             yield from self.semaphore.acquire()
             try:
-                duration = servers.FETCH[self.role] * (0.8 + 0.4 * rng.random()) + condition.delay
+                duration = servers.FIRST_BYTE[self.role] * (0.8 + 0.4 * rng.random()) + condition.delay
                 yield int(duration * S)
                 if self.condition().down or rng.random() < condition.fail:
                     raise FillFailed("src_broke")
                 group, size = world.describe(command.key)
                 if self.role == "vault":
                     return Copy(world.unix_ms(), size, group), "filled"
-                copy = self.store.find(command.key, world.unix_ms(), command.max_age_ms)
+                copy = self.store.lookup(command.key, world.unix_ms(), command.max_age_ms)
                 if copy is not None:
                     return copy, "filled"
                 if cached_only:
@@ -225,7 +225,7 @@
         if condition.down:
             return Answer("errored", note_code("origin_failed"))
         began = world.engine.now
-        yield int((servers.FETCH["vault"] + condition.delay) * S)
+        yield int((servers.FIRST_BYTE["vault"] + condition.delay) * S)
         world.effects.run(command.token, world.engine.now / S)
         note = "filled" if source is origin else "via_origin"
         return Answer("returned", note_code(note), world.engine.now - began)
@@ -247,7 +247,7 @@
 
 class World:
     def __init__(
-        self, engine: Engine, plan: Plan, seed: int, describe: Callable[[Key], tuple[int, int]],
+        self, engine: Engine, plan: FaultPlan, seed: int, describe: Callable[[Key], tuple[int, int]],
         remembered: float, caches_by_location: list[int], parents: int, cache_memory: int, cache_slots: int,
         origin_slots: int,
     ) -> None:  # fmt: skip
@@ -257,13 +257,13 @@
         known; `*_slots`: GETs that a cache, or the origin, serves at once.
         """
         self.engine, self.plan, self.rng, self.describe = engine, plan, random.Random(seed), describe
-        self.effects = Effects(remembered)
+        self.effects = EffectLog(remembered)
         self.locations = (*(f"shop-{n + 1}" for n in range(len(caches_by_location))), "hubs")
         self.nodes: dict[str, Node] = {}
         parent, ids = servers.Shape().hub, iter(range(1, 1 << 24))
         specs = [(f"cache-{location + 1}-{n + 1}", "cache", cache_memory, cache_slots, location, n)
                  for location, count in enumerate(caches_by_location) for n in range(count)]  # fmt: skip
-        specs += [(f"hub-{n + 1}", "hub", parent.memory, parent.lanes, len(caches_by_location), n)
+        specs += [(f"hub-{n + 1}", "hub", parent.cache_bytes, parent.slots, len(caches_by_location), n)
                   for n in range(parents)]  # fmt: skip
         specs.append(("vault", "vault", 0, origin_slots, len(caches_by_location), 0))
         for name, role, memory, slots, index, cell in specs:
--- a/damsonstream/emulator/play.py
+++ b/damsonstream/emulator/play.py
@@ -19,7 +19,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from damsonstream.demo.figures import OFFERS, REMEMBERED
+from damsonstream.demo.figures import PROFILES, TOKEN_TTL
 from damsonstream.emulator.engine import Engine, S
 from damsonstream.emulator.gateway import EventHandler, Gateway
 from damsonstream.emulator.nodes import MODELS, Node, World
@@ -31,10 +31,10 @@
 from damsonstream.routing.interface import Deployment
 from damsonstream.routing.router import Router
 from damsonstream.standins import clients, servers
-from damsonstream.standins.faults import Plan
+from damsonstream.standins.faults import FaultPlan
 from damsonstream.standins.traffic import GROUPS, Catalogue, arrivals
 from damsonstream.together import figures
-from damsonstream.together.checks import Filled, Seen, Tried
+from damsonstream.together.checks import Filled, Observations, Tried
 from damsonstream.together.links import CLEAR, Links
 from damsonstream.together.script import Script, Step
 
@@ -62,31 +62,31 @@
             raise Unfit("a script with zones defines its own gateways, so shops must be 1")
         self.script, self.seed, self.shops = script, seed, shops
         self.features = frozenset(FEATURES) - without
-        self.rng, self.message_price = random.Random(seed), figures.PRICE
+        self.rng, self.message_price = random.Random(seed), figures.PEER_MESSAGE_COST
         self.make_router: Callable[[int], EventHandler] = router or (lambda index: Router())
         self.engine = Engine()
         self.links = Links(script.links)
-        location_of, gateway_counts = figures.homes(script)
+        location_of, gateway_counts = figures.shop_assignment(script)
         if shops > 1:
             per_shop = len(script.gateways)
             location_of, gateway_counts = (lambda index: index // per_shop), [per_shop] * shops
         names = [f"n{index + 1}" for index in range(sum(gateway_counts))]
         # every location of a script with zones has as many caches as the largest, as in `together`
         cache_count = max([zone.caches for zone in script.zones] or [script.caches])
-        catalogue = Catalogue(OFFERS, seed)
+        catalogue = Catalogue(PROFILES, seed)
         self.world = World(
-            self.engine, Plan(script.nodes), seed, catalogue.describe, REMEMBERED,
-            [cache_count] * len(gateway_counts), script.hubs * shops, script.memory, script.lanes,
-            servers.Shape().vault.lanes * shops,
+            self.engine, FaultPlan(script.nodes), seed, catalogue.describe, TOKEN_TTL,
+            [cache_count] * len(gateway_counts), script.hubs * shops, script.cache_bytes, script.slots,
+            servers.Shape().vault.slots * shops,
         )  # fmt: skip
         world = self.world
         self.footprint: Callable[[int], Deployment] = cache(
             lambda index: footprint(
-                figures.settings(script, index, location_of, gateway_counts, MODELS, world.locations)
+                figures.gateway_settings(script, index, location_of, gateway_counts, MODELS, world.locations)
             )
         )
-        self.record = Seen(names)
-        self.zone_by_node = figures.zones(script, cache_count)
+        self.record = Observations(names)
+        self.zone_by_node = figures.zone_by_node(script, cache_count)
         self.uids = {name: node.uid for name, node in world.nodes.items()}
         self.revision, self.hierarchy = 0, ""
         if script.zones:
@@ -101,20 +101,20 @@
 
     def next_revision(self) -> None:
         self.revision += 1
-        self.hierarchy = figures.hierarchy(self.script, self.uids, self.revision)
+        self.hierarchy = figures.hierarchy_kdl(self.script, self.uids, self.revision)
 
     # links between processes
 
     def link_hold(self, a: str, b: str) -> float:
         """Returns the seconds for which the link from a to b holds its traffic back."""
-        return self.links.held(a, b, self.engine.now / S)
+        return self.links.blocked_for(a, b, self.engine.now / S)
 
     def extra_delay(self, a: str, b: str) -> int:
         """Returns the ticks that faults add now to the usual delay of a stream from a to b."""
         if not self.links.faults:
             return 0
         now = self.engine.now / S
-        link = self.links.between(a, b, now)
+        link = self.links.condition(a, b, now)
         if link is CLEAR:
             return 0
         delay = max(link.delay, link.cut - now if link.cut else 0.0, link.hold - now if link.hold else 0.0)
@@ -123,9 +123,9 @@
     def send_datagram(self, sender: Gateway, index: int, data: bytes) -> None:
         now, rng, receiver = self.engine.now / S, self.datagram_rng, self.gateways[index]
         self.record.datagrams.append((now, sender.name, len(data)))
-        self.record.told += [(now, sender.name, item) for item in wire.decode(data).items]
-        link = self.links.between(sender.name, receiver.name, now)
-        if link.cut > 0 or link.broken or rng.random() < link.drop:
+        self.record.messages += [(now, sender.name, item) for item in wire.decode(data).items]
+        link = self.links.condition(sender.name, receiver.name, now)
+        if link.cut > 0 or link.reset or rng.random() < link.drop:
             return
         for _ in range(2 if rng.random() < link.repeat else 1):
             delay = max(link.delay, link.hold - now) + link.jitter * rng.random()
@@ -179,7 +179,7 @@
         """Returns the GETs a second of all viewers at a time of the script."""
         return self.shops * self.script.rate_at(at)
 
-    def run(self) -> Seen:
+    def run(self) -> Observations:
         script, engine = self.script, self.engine
         for gateway in self.gateways:
             gateway.start()
@@ -189,15 +189,15 @@
         for fault in script.links:
             if fault.kind == "break":
                 for gateway in self.gateways:
-                    for node in (node for node in self.world.nodes if fault.meets(gateway.name, node)):
+                    for node in (node for node in self.world.nodes if fault.applies_to(gateway.name, node)):
                         reset = partial(gateway.dispatch, partial(gateway.reset_connection, node))
                         engine.at(int(fault.start * S), reset)
-        max_rate = self.shops * script.most_rate()
+        max_rate = self.shops * script.max_rate()
         self.viewers.start(
             arrivals(self.catalogue, self.rate, max_rate, script.lasts, VIEWER_COUNT, self.seed + 2)
         )
-        engine.until(int((script.lasts + clients.TAIL) * S))
-        while self.viewers.open and engine.now < (script.lasts + clients.TAIL + clients.CLOSE) * S:
+        engine.until(int((script.lasts + clients.LINGER) * S))
+        while self.viewers.open and engine.now < (script.lasts + clients.LINGER + clients.DRAIN_TIMEOUT) * S:
             engine.until(engine.now + S // 50)
         self.complete_record()
         return self.record
@@ -207,12 +207,12 @@
         for gateway in self.gateways:
             for node in list(gateway.connections):
                 gateway.close_if_idle(node, now)
-        record.tries = [Tried(one.sent, one.gateway, one.outcome) for one in self.viewers.tries]
-        record.known = {name: source_id(uid) for name, uid in self.uids.items()}
-        record.zones = {zone_digest(zone.name): zone.name for zone in self.script.zones}
-        record.faults = [*self.world.violations, *self.world.effects.doubles]
+        record.gets = [Tried(one.sent, one.gateway, one.outcome) for one in self.viewers.tries]
+        record.source_ids = {name: source_id(uid) for name, uid in self.uids.items()}
+        record.zone_names = {zone_digest(zone.name): zone.name for zone in self.script.zones}
+        record.violations = [*self.world.violations, *self.world.effects.tokens_run_twice]
 
     def digest(self) -> str:
         record = self.record
-        parts = (record.forwards, record.tries, record.fills, record.datagrams, record.opened, record.faults)
+        parts = (record.forwards, record.gets, record.fills, record.datagrams, record.opened, record.violations)
         return blake2b(repr(parts).encode(), digest_size=8).hexdigest()
--- a/damsonstream/emulator/viewers.py
+++ b/damsonstream/emulator/viewers.py
@@ -39,7 +39,7 @@
 
         def accept() -> None:
             arrival = self.arrival
-            self.leave = self.gateway.accept_get(arrival.offer.name, arrival.thing, group, arrival.token,
+            self.leave = self.gateway.accept_get(arrival.profile.name, arrival.obj, group, arrival.token,
                                                  self.time_left, self.repeated,
                                                  lambda *end: self.ended.set(end))  # fmt: skip
 
@@ -58,7 +58,7 @@
         )  # fmt: skip
         self.weighted = len(set(weights.values())) > 1
         self.rng = random.Random(seed)
-        self.tries: list[clients.Try] = []
+        self.tries: list[clients.ClientGet] = []
         self.open = self.unsent = 0
 
     def start(self, arrivals: Iterator[Arrival]) -> None:
@@ -83,31 +83,31 @@
 
     def request(self, arrival: Arrival) -> Process[None]:
         """Sends a viewer's GET, with retries, until it is answered or the viewer's patience ends."""
-        engine, offer = self.engine, arrival.offer
-        deadline = engine.now + offer.patience_ms * S // 1000
+        engine, offer = self.engine, arrival.profile
+        deadline = engine.now + offer.viewer_timeout_ms * S // 1000
         self.open += 1
-        for retries in range(clients.FURTHER + 1):
+        for retries in range(clients.MAX_RETRIES + 1):
             time_left = deadline - engine.now
             if time_left <= MIN_TIME_LEFT:
                 break
             gateway = self.pick_gateway()
             if gateway is None:
                 self.unsent += 1
-                yield min(time_left, int(clients.RETRY * S))
+                yield min(time_left, int(clients.RECONNECT_DELAY * S))
                 continue
             ended = Signal(engine)
-            record = clients.Try("", gateway.name, offer.name, arrival.thing, engine.now / S, retries)
+            record = clients.ClientGet("", gateway.name, offer.name, arrival.obj, engine.now / S, retries)
             self.tries.append(record)
             pending = PendingTry(gateway, arrival, time_left, retries > 0, ended)
-            engine.after(ONE_WAY_DELAY, partial(pending.arrive, self.catalogue.group(arrival.thing)))
+            engine.after(ONE_WAY_DELAY, partial(pending.arrive, self.catalogue.group(arrival.obj)))
             engine.after(time_left, partial(ended.set, ("late", 0)))
             record.outcome, retry_after = yield ended
-            record.took = engine.now / S - record.sent
+            record.duration = engine.now / S - record.sent
             if record.outcome == "late" and pending.leave is not None:
                 pending.leave()
             if record.outcome not in ("shed", "lost"):
                 break
             if record.outcome == "lost" and arrival.token and retries:
                 break
-            yield retry_after or clients.AGAIN_MS * S // 1000
+            yield retry_after or clients.DEFAULT_RETRY_DELAY_MS * S // 1000
         self.open -= 1
--- a/damsonstream/program/commands/demo.py
+++ b/damsonstream/program/commands/demo.py
@@ -13,7 +13,7 @@
 
 from damsonstream.demo import scenario as scenarios
 from damsonstream.demo.check import check
-from damsonstream.demo.play import Play, Truth, play
+from damsonstream.demo.play import DemoRun, Truth, execute
 from damsonstream.demo.verdict import recorded
 from damsonstream.incident import gather as reading
 from damsonstream.program import toollogs
@@ -25,19 +25,19 @@
 def listed(context: click.Context, _: click.Parameter, value: bool) -> None:
     """Callback of `--list`: prints the shipped scenarios and exits."""
     if value and not context.resilient_parsing:
-        for name in scenarios.shipped():
+        for name in scenarios.shipped_names():
             loaded = scenarios.load(name)
             click.echo(f"{name:18} {loaded.lasts:g} s: {loaded.about}")
         context.exit()
 
 
-def progress(play: Play) -> None:
+def progress(play: DemoRun) -> None:
     """Prints one line of progress: the elapsed time, GETs by outcome and the steps of the last second."""
-    outcomes = Counter(one.outcome or "open" for one in play.front.tries)
+    outcomes = Counter(one.outcome or "open" for one in play.generator.sent_gets)
     counts = "  ".join(f"{name} {outcomes[name]}" for name in ("returned", "shed", "errored", "lost", "late"))
-    now = max(0.0, play.world.now())
+    now = max(0.0, play.stand_ins.now())
     recent = [f"{s.does} {s.to}".strip() for s in play.scenario.steps if now - 1 < s.at <= now]
-    click.echo(f"{now:5.1f} s  GETs {len(play.front.tries):5}  {counts}  {'; '.join(recent)}".rstrip())
+    click.echo(f"{now:5.1f} s  GETs {len(play.generator.sent_gets):5}  {counts}  {'; '.join(recent)}".rstrip())
 
 
 @click.command()
@@ -45,7 +45,7 @@
               help="A shipped scenario or a KDL file.")  # fmt: skip
 @click.option("--list", is_flag=True, expose_value=False, is_eager=True, callback=listed,
               help="List the shipped scenarios.")  # fmt: skip
-@click.option("--seconds", type=click.FloatRange(scenarios.LEAST, scenarios.MOST),
+@click.option("--seconds", type=click.FloatRange(scenarios.MIN_DURATION, scenarios.MAX_DURATION),
               help="Stretch or compress the scenario to this duration.")  # fmt: skip
 @click.option("--records", type=click.Path(path_type=Path, file_okay=False), help="Folder for the records.")
 @click.option("--report", type=click.Path(path_type=Path, dir_okay=False), help="File for the HTML report.")
@@ -90,7 +90,7 @@
     """Runs the scenario, with progress lines or behind the console; returns what really happened."""
     if plain:
         return anyio.run(
-            play, scenario, folder, records, seed, progress, backend_options={"use_uvloop": True}
+            execute, scenario, folder, records, seed, progress, backend_options={"use_uvloop": True}
         )
     from damsonstream.console.app import Console
     from damsonstream.console.follow import Following
@@ -99,7 +99,7 @@
     results: list[Truth] = []
 
     async def run_fleet() -> None:
-        results.append(await play(scenario, folder, records, seed, lambda _: None))
+        results.append(await execute(scenario, folder, records, seed, lambda _: None))
 
     Console(Following(records), live=True, background=run_fleet).run()
     if not results:
@@ -114,14 +114,14 @@
     incident = reading.analyze(records)
     summary = reading.summary(incident)
     differences = check(summary, recorded(records), truth)
-    click.echo(f"\nviewers: {', '.join(f'{count} {name}' for name, count in sorted(truth.count().items()))}")
+    click.echo(f"\nviewers: {', '.join(f'{count} {name}' for name, count in sorted(truth.counts().items()))}")
     click.echo(
         f"records: {incident.records} of {summary['accounting']['gets']} GETs, "
         f"{', '.join(f'{count} {name}' for name, count in sorted(incident.verdicts.items()))}"
     )
     for phase in summary["phases"]:
         if phase["kind"] != "half-open":
-            start, end = phase["start"] - truth.began, phase["end"] - truth.began
+            start, end = phase["start"] - truth.start, phase["end"] - truth.start
             click.echo(f"  {start:6.2f} to {end:6.2f} s  {phase['kind']:11}  {phase['subject']}")
     for rule in summary["rules"]:
         click.echo(f"  rule {rule['rule']}: {rule['verdict']:10}  {rule['name']}, {rule['cases']} cases")
--- a/damsonstream/program/commands/experiment.py
+++ b/damsonstream/program/commands/experiment.py
@@ -31,7 +31,7 @@
     observed = simulation.run()
     figures = [checks.CHECKS[one.check.name](one.check, observed) for one in experiment.measures]
     return study.Outcome(cell.shops, cell.policy, cell.seed, [round(float(x), 6) for x in figures],
-                         len(observed.tries), len(observed.faults), simulation.digest())  # fmt: skip
+                         len(observed.gets), len(observed.violations), simulation.digest())  # fmt: skip
 
 
 @click.group()
@@ -192,7 +192,7 @@
         click.echo(fault, err=True)
         return 2
     observed = simulation.run()
-    result = verdict.result(loaded, frozenset(without), observed, 0.0)
+    result = verdict.evaluate(loaded, frozenset(without), observed, 0.0)
     print_result(result, observed)
     click.echo(f"{result.verdict}, digest {simulation.digest()}")
     return 0 if result.verdict == "kept" else 1
--- a/damsonstream/program/commands/playing.py
+++ b/damsonstream/program/commands/playing.py
@@ -14,8 +14,8 @@
 import click
 
 from damsonstream.settings import kdl
-from damsonstream.together.checks import Seen as Observations
-from damsonstream.together.checks import told
+from damsonstream.together.checks import Observations as Observations
+from damsonstream.together.checks import first_violations
 from damsonstream.together.verdict import Result
 
 Outcome = TypeVar("Outcome")
@@ -48,7 +48,7 @@
     """Prints each check with its bound and result, and the outcomes of the GETs."""
     for one in result.checks:
         click.echo(f"  {'kept  ' if one.kept else 'BROKEN'}  {one.name}: {one.seen:g} ({one.bound})")
-    for text in told(observed):
+    for text in first_violations(observed):
         click.echo(f"          {text}")
-    outcomes = Counter(one.outcome or "open" for one in observed.tries)
+    outcomes = Counter(one.outcome or "open" for one in observed.gets)
     click.echo("GETs: " + ", ".join(f"{count} {name}" for name, count in outcomes.most_common()))
--- a/damsonstream/program/commands/together.py
+++ b/damsonstream/program/commands/together.py
@@ -16,7 +16,7 @@
 from damsonstream.settings import kdl
 from damsonstream.standins.faults import KINDS as NODE_KINDS
 from damsonstream.together import checks, links, rig, script, verdict
-from damsonstream.together.script import OWN, PROCESS_KINDS
+from damsonstream.together.script import CONTROL_KINDS, PROCESS_KINDS
 
 
 @click.group()
@@ -48,8 +48,8 @@
         f"{loaded.name}: {loaded.about}; {len(loaded.gateways)} gateways, {loaded.lasts:g} s, in {folder}"
     )
     uvloop = {"use_uvloop": True}
-    observed = run_or_exit(lambda: anyio.run(rig.play, loaded, off, folder, seed, backend_options=uvloop))
-    result = verdict.result(loaded, off, observed, time.monotonic() - started)
+    observed = run_or_exit(lambda: anyio.run(rig.run_script, loaded, off, folder, seed, backend_options=uvloop))
+    result = verdict.evaluate(loaded, off, observed, time.monotonic() - started)
     print_result(result, observed)
     click.echo(result.verdict)
     if json_file is not None:
@@ -67,6 +67,6 @@
     """List the scripts of a folder, and the faults and checks that scripts may use."""
     for loaded in scripts(folder, script.load):
         click.echo(f"{loaded.name:18} {loaded.lasts:g} s: {loaded.about}")
-    click.echo(f"faults: {', '.join((*links.KINDS, *NODE_KINDS, *PROCESS_KINDS, *OWN))}")
+    click.echo(f"faults: {', '.join((*links.KINDS, *NODE_KINDS, *PROCESS_KINDS, *CONTROL_KINDS))}")
     click.echo(f"checks: {', '.join(checks.CHECKS)}")
     return 0
--- a/damsonstream/replay/alone.py
+++ b/damsonstream/replay/alone.py
@@ -17,7 +17,7 @@
 from damsonstream.replay.run import TraceGet
 from damsonstream.routing import interface as i
 from damsonstream.routing.router import Router
-from damsonstream.standins.shelf import Copy, Shelf
+from damsonstream.standins.shelf import Copy, CacheStore
 
 TICKS_PER_S, TICKS_PER_MS = 10_000, 10
 # Time until the answer: a hit in the cache, a fill from a copy at a parent, a fill from the origin.
@@ -115,8 +115,8 @@
         self.open_gets: dict[int, tuple[int, TraceGet]] = {}  # by id: start time and GET; removed as they end
         self.attempt_counts: dict[int, int] = {}  # by GET
         self.in_flight: dict[tuple[int, int], str] = {}  # (GET, attempt): cache
-        self.caches = {f"c{n + 1}": Shelf(setting.cache_bytes) for n in range(setting.caches)}
-        self.parents = {f"p{n + 1}": Shelf(setting.parent_bytes) for n in range(setting.parents)}
+        self.caches = {f"c{n + 1}": CacheStore(setting.cache_bytes) for n in range(setting.caches)}
+        self.parents = {f"p{n + 1}": CacheStore(setting.parent_bytes) for n in range(setting.parents)}
         self.dispatch(i.Started(setting.seed, footprint))
         entries = [i.ListEntry(name, "shop", "active", 24.0, n, "box", 0) for n, name in enumerate(self.caches)]
         entries += [i.ListEntry(name, "hubs", "active", 64.0, n, "hub", 0) for n, name in enumerate(self.parents)]
@@ -213,14 +213,14 @@
         if trace_get is None:
             return self.schedule(self.now, (get, attempt, "unsent", 0, 0, 0))
         key, store = (trace_get.service, trace_get.object_id, "0"), self.caches.get(action.cache)
-        if store is not None and store.find(key, self.now, 0) is not None:
+        if store is not None and store.lookup(key, self.now, 0) is not None:
             counts.hits += 1
             return self.schedule(self.now + HIT_TICKS, (get, attempt, "returned", HIT_TICKS, 0, 1))
         if action.source == action.cache:
             return self.schedule(self.now + HIT_TICKS, (get, attempt, "lacking", HIT_TICKS, 0, 0))
         copy = Copy(self.now, max(1, trace_get.size), 0)
         parent = self.parents.get(action.source)
-        if parent is not None and parent.find(key, self.now, 0) is not None:
+        if parent is not None and parent.lookup(key, self.now, 0) is not None:
             first_byte, note = PARENT_FILL_TICKS + self.extra_delay(action.source), 2
         elif parent is not None and action.only_if_cached:
             first_byte = PARENT_FILL_TICKS + self.extra_delay(action.source)
@@ -233,10 +233,10 @@
                 3,
             )
             if parent is not None:
-                parent.keep(key, copy)
+                parent.store(key, copy)
         counts.fills[action.source if note == 2 else "o"] += 1
         if store is not None and not trace_get.tokened:
-            store.keep(key, copy)
+            store.store(key, copy)
         return self.schedule(
             self.now + first_byte + HIT_TICKS,
             (get, attempt, "returned", first_byte + HIT_TICKS, first_byte, note),
--- a/damsonstream/replay/limits.py
+++ b/damsonstream/replay/limits.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from damsonstream.standins.traffic import number
+from damsonstream.standins.traffic import hashed
 
 # Retry budget: tokens earned per GET, and tokens at the start. Without a budget retries prolong an outage:
 # with two retries each, a service that is down receives three times the load of a healthy one.
@@ -137,7 +137,7 @@
 
     def ranked_gateways(self, client: int) -> list[GatewayState]:
         """Returns the gateways in the client's order of preference (rendezvous hashing)."""
-        return sorted(self.gateways.values(), key=lambda gateway: number(client, gateway.name), reverse=True)
+        return sorted(self.gateways.values(), key=lambda gateway: hashed(client, gateway.name), reverse=True)
 
     def pick_gateway(self, client: int, now: float) -> str | None:
         """Returns the client's first gateway that is not down, or None if all are down."""
--- a/damsonstream/replay/play.py
+++ b/damsonstream/replay/play.py
@@ -14,8 +14,8 @@
 
 import anyio
 
-from damsonstream.demo.figures import OFFERS
-from damsonstream.demo.play import Play
+from damsonstream.demo.figures import PROFILES
+from damsonstream.demo.play import DemoRun
 from damsonstream.demo.scenario import Scenario, Step, load
 from damsonstream.replay.account import Account
 from damsonstream.replay.limits import ReplayRule
@@ -71,7 +71,7 @@
         "stalls": [{"at": round(s.start, 3), "lasted": round(s.duration, 3)} for s in limits.stalls],
         "stalled_s": round(limits.stalled_s, 3),
         "further_tries_refused_by_budget": limits.refused_retries,
-        "faults": replay.faults[:20],
+        "faults": replay.violations[:20],
     }
 
 
@@ -111,27 +111,27 @@
     return summary(replay, options)
 
 
-class FleetReplay(Play):
+class FleetReplay(DemoRun):
     """A run of the demo fleet in which the GETs come from a trace."""
 
     def __init__(self, scenario: Scenario, folder: Path, records: Path, options: Order) -> None:
         super().__init__(scenario, folder, records, options.seed)
         self.replay_options = options
-        self.replay = self.front = options.make_replay(self.fleet.addresses)
-        self.world.describe = self.describe
+        self.replay = self.generator = options.make_replay(self.fleet.addresses)
+        self.stand_ins.describe = self.describe
 
     def describe(self, key: Key) -> tuple[int, int]:
         """Returns the group of an object, and its size in the trace up to the limit of the cache protocol."""
         size = self.replay.object_sizes.get(key[1], 1000)
         return int(key[1], 16) % 64, max(1, min(size, 230_000))
 
-    async def viewers(self) -> None:
+    async def send_gets(self) -> None:
         await run_to_end(self.replay, self.replay_options)
 
 
 def with_fleet(options: Order, gateways: int, folder: Path) -> dict[str, Any]:
     """Starts gateways between stand-ins and replays against them."""
-    max_timeout = max(offer.patience_ms for offer in OFFERS) / 1000
+    max_timeout = max(offer.viewer_timeout_ms for offer in PROFILES) / 1000
     if options.patience > max_timeout:
         raise RuntimeError(f"the fleet's viewers wait at most {max_timeout:g} s, not {options.patience:g}")
     spans = options.trace.row_group_spans()
--- a/damsonstream/replay/run.py
+++ b/damsonstream/replay/run.py
@@ -20,8 +20,8 @@
 
 from damsonstream.replay.account import Account, Unusable
 from damsonstream.replay.limits import Limits, ReplayRule
-from damsonstream.standins.clients import CONNECTIONS, STREAMS, Front, GatewayLink, Open
-from damsonstream.standins.traffic import Arrival, Catalogue, Offer
+from damsonstream.standins.clients import CONNECTIONS, MAX_STREAMS, LoadGenerator, GatewayConnection, PendingGet
+from damsonstream.standins.traffic import Arrival, Catalogue, ServiceProfile
 from damsonstream.traces.gets import WRITE, mix64
 
 US_PER_S = 1_000_000
@@ -64,7 +64,7 @@
             index += 1
 
 
-class Replay(Front):
+class Replay(LoadGenerator):
     """The client side of a replay: web servers that send the GETs of a trace to gateways."""
 
     def __init__(
@@ -80,7 +80,7 @@
         super().__init__(addresses, Catalogue((), seed), self.clock, seed)
         self.gets, self.account, self.checkpoint = gets, account, checkpoint
         self.limits = Limits.of(rule, addresses, seed)
-        self.offers: dict[str, Offer] = {}
+        self.offers: dict[str, ServiceProfile] = {}
         self.stopped, self.paused = False, False
         self.trace_offset = 0.0  # time in the trace when the replay's clock is 0
         self.saved_at = 0.0
@@ -93,10 +93,10 @@
         """Sends no further GETs; open ones continue to their end."""
         self.stopped = True
 
-    def offer_for(self, get: TraceGet) -> Offer:
+    def offer_for(self, get: TraceGet) -> ServiceProfile:
         if get.service not in self.offers:
             timeout_ms = int(self.limits.rule.viewer_timeout * 1000)
-            self.offers[get.service] = Offer(get.service, 0, 0, 0, 0, timeout_ms, get.tokened)
+            self.offers[get.service] = ServiceProfile(get.service, 0, 0, 0, 0, timeout_ms, get.tokened)
         return self.offers[get.service]
 
     async def run(self) -> None:
@@ -104,9 +104,9 @@
         async with anyio.create_task_group() as group:
             self.group = group
             for name in self.addresses:
-                group.start_soon(self.keep, name)
+                group.start_soon(self.keep_connected, name)
             with anyio.move_on_after(5):
-                while not any(self.links.values()):
+                while not any(self.pools.values()):
                     await anyio.sleep(0.01)
             self.started_at = time.monotonic()
             await self.replay_all()
@@ -168,7 +168,7 @@
                 link = self.client_connection(get.client)
                 if link is None:
                     if not tries:
-                        outcome = "no-room" if any(self.links.values()) else "no-gateway"
+                        outcome = "no-room" if any(self.pools.values()) else "no-gateway"
                     await anyio.sleep(min(time_left, POLL_INTERVAL * 4))
                     continue
                 now = sent = self.clock()
@@ -180,11 +180,11 @@
                     await waiting.done
                 self.limits.ended(link.name)
                 # the timeout cancels the future too, so only the outcome shows whether the try has ended
-                if scope.cancelled_caught and not waiting.one.outcome:
-                    self.give_up(link, waiting)
-                outcome = waiting.one.outcome
+                if scope.cancelled_caught and not waiting.get.outcome:
+                    self.abandon(link, waiting)
+                outcome = waiting.get.outcome
                 retry = self.limits.decide_retry(
-                    self.clock(), intended, tries, outcome, waiting.come_back_ms / 1000, get.tokened
+                    self.clock(), intended, tries, outcome, waiting.retry_after_ms / 1000, get.tokened
                 )
                 if retry.give_up_reason:
                     break
@@ -197,28 +197,28 @@
                     get.index, get.service, outcome, tries, send_delay, now - intended, now - sent
                 )
 
-    def client_connection(self, client: int) -> GatewayLink | None:
+    def client_connection(self, client: int) -> GatewayConnection | None:
         """Returns the least loaded connection to the client's gateway, or None if there is no free stream."""
         name = self.limits.pick_gateway(client, self.clock())
-        links = [link for link in self.links.get(name or "", ()) if not link.reason]
-        link = min(links, key=lambda link: len(link.open), default=None)
-        return link if link is not None and len(link.open) < STREAMS else None
+        links = [link for link in self.pools.get(name or "", ()) if not link.reason]
+        link = min(links, key=lambda link: len(link.pending), default=None)
+        return link if link is not None and len(link.pending) < MAX_STREAMS else None
 
-    def send(self, link: GatewayLink, arrival: Arrival, further: int, left: float) -> Open:
+    def send(self, link: GatewayConnection, arrival: Arrival, further: int, left: float) -> PendingGet:
         waiting = super().send(link, arrival, further, left)
-        self.tries.clear()  # a trace may have billions of GETs, and `account` counts them already
+        self.sent_gets.clear()  # a trace may have billions of GETs, and `account` counts them already
         return waiting
 
-    async def keep(self, name: str) -> None:
+    async def keep_connected(self, name: str) -> None:
         """Keeps the connections to one gateway open. A gateway is down from a refusal to the next success."""
         host, port = self.addresses[name]
         loop = asyncio.get_running_loop()
         while not self.closing:
             gateway = self.limits.gateways[name]
-            if len(self.links[name]) >= CONNECTIONS or (gateway.failures and self.clock() < gateway.retry_at):
+            if len(self.pools[name]) >= CONNECTIONS or (gateway.failures and self.clock() < gateway.retry_at):
                 await anyio.sleep(0.02)
                 continue
-            link = GatewayLink(self, name)
+            link = GatewayConnection(self, name)
             try:
                 with anyio.fail_after(1.0):
                     await loop.create_connection(lambda link=link: link, host, port)  # type: ignore[misc]
@@ -226,11 +226,11 @@
                 self.limits.mark_down(name, self.clock())
                 continue
             self.limits.mark_up(name)
-            self.links[name].append(link)
+            self.pools[name].append(link)
 
-    def parted(self, link: GatewayLink) -> None:
-        super().parted(link)
-        if not self.links[link.name] and not self.closing:
+    def handle_disconnect(self, link: GatewayConnection) -> None:
+        super().handle_disconnect(link)
+        if not self.pools[link.name] and not self.closing:
             self.limits.mark_down(link.name, self.clock())
 
     def save_checkpoint(self, force: bool = False) -> None:
--- a/damsonstream/standins/faults.py
+++ b/damsonstream/standins/faults.py
@@ -45,7 +45,7 @@
 HEALTHY = Condition()
 
 
-class Plan:
+class FaultPlan:
     def __init__(self, faults: Iterable[Fault] = ()) -> None:
         self.faults = sorted(faults, key=lambda fault: (fault.start, fault.node, fault.kind))
         self.by_node: dict[str, list[Fault]] = {}
--- a/damsonstream/standins/servers.py
+++ b/damsonstream/standins/servers.py
@@ -20,17 +20,17 @@
 from anyio.abc import TaskGroup
 
 from damsonstream.standins import wire
-from damsonstream.standins.faults import Condition, Plan
-from damsonstream.standins.shelf import Copy, Effects, Key, Shelf
+from damsonstream.standins.faults import Condition, FaultPlan
+from damsonstream.standins.shelf import Copy, EffectLog, Key, CacheStore
 from damsonstream.transport.link import TcpConnection
 
 LOOPBACK = "127.0.0.1"
-SETTLE = 0.2  # seconds within which a node drops purged copies
-HIT = 0.002  # seconds for a hit: memory lookup and network within the shop
-FETCH = {"hub": 0.008, "vault": 0.030}  # seconds to the first byte of a healthy source, by role
-PACE = 40e6  # bytes per second of an answer's transfer
-LONGEST = 10.0  # seconds for a fill, after which its source counts as broken
-QUEUE = 4  # queued GETs per GET in progress; further ones are shed
+PURGE_DELAY = 0.2  # seconds within which a node drops purged copies
+HIT_TIME = 0.002  # seconds for a hit: memory lookup and network within the shop
+FIRST_BYTE = {"hub": 0.008, "vault": 0.030}  # seconds to the first byte of a healthy source, by role
+BYTES_PER_SECOND = 40e6  # bytes per second of an answer's transfer
+FILL_TIMEOUT = 10.0  # seconds for a fill, after which its source counts as broken
+QUEUE_FACTOR = 4  # queued GETs per GET in progress; further ones are shed
 
 
 @dataclass(slots=True)
@@ -38,8 +38,8 @@
     """The capacity of every node of a role."""
 
     role: str  # cache, hub or vault
-    memory: int  # capacity for copies in bytes
-    lanes: int  # GETs processed at once
+    cache_bytes: int  # capacity for copies in bytes
+    slots: int  # GETs processed at once
 
 
 FillFunction = Callable[[], Awaitable[tuple[Copy, str]]]
@@ -53,9 +53,9 @@
     """One cache, parent or origin."""
 
     def __init__(
-        self, stand_ins: World, id: int, name: str, kind: NodeKind, location: int, cell: int
+        self, stand_ins: StandIns, id: int, name: str, kind: NodeKind, location: int, cell: int
     ) -> None:
-        self.world, self.id, self.name, self.kind, self.location, self.cell = (
+        self.stand_ins, self.id, self.name, self.kind, self.location, self.cell = (
             stand_ins,
             id,
             name,
@@ -64,11 +64,11 @@
             cell,
         )
         self.uid = f"s-{id:08x}"
-        self.shelf = Shelf(kind.memory)
-        self.free_slots = asyncio.Semaphore(kind.lanes)
+        self.store = CacheStore(kind.cache_bytes)
+        self.free_slots = asyncio.Semaphore(kind.slots)
         self.in_progress = 0  # GETs and fills being processed or queued
         self.fills: dict[Key, asyncio.Future[tuple[Copy, str]]] = {}  # running fills; removed as they end
-        self.links: set[CacheLink] = set()
+        self.connections: set[CacheConnection] = set()
         self.server: asyncio.Server | None = None
         self.port = 0
         self.state, self.started_ms = 0, 0
@@ -77,16 +77,16 @@
 
     def list_entry(self) -> wire.ListedNode:
         """Returns the node's entry in the discovery list."""
-        model = self.world.models.index({"cache": "box", "hub": "hub", "vault": "vault"}[self.kind.role])
+        model = self.stand_ins.models.index({"cache": "box", "hub": "hub", "vault": "vault"}[self.kind.role])
         return wire.ListedNode(self.id, (LOOPBACK, self.port), self.state, self.location, model, self.cell,
-                           float(self.kind.lanes), self.started_ms)  # fmt: skip
+                           float(self.kind.slots), self.started_ms)  # fmt: skip
 
     def condition(self) -> Condition:
-        return self.world.plan.condition(self.name, self.world.now())
+        return self.stand_ins.plan.condition(self.name, self.stand_ins.now())
 
     async def listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: CacheLink(self), LOOPBACK, self.port)
+        self.server = await loop.create_server(lambda: CacheConnection(self), LOOPBACK, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def crash(self) -> None:
@@ -95,16 +95,16 @@
             self.server.close()
             self.server = None
         self.reset()
-        self.shelf.clear()
+        self.store.clear()
 
     def reset(self) -> None:
         """Resets all connections."""
-        for connection in list(self.links):
+        for connection in list(self.connections):
             connection.close("reset")
 
     async def restart(self) -> None:
         await self.listen()
-        self.started_ms = self.world.unix_ms()
+        self.started_ms = self.stand_ins.unix_ms()
 
     async def serve_fill(
         self, requester: Node, key: Key, group: int, size: int, max_age: int, only_if_cached: bool
@@ -113,9 +113,9 @@
 
         `max_age` is in milliseconds, 0 for any. Raises FillError.
         """
-        stand_ins = self.world
+        stand_ins = self.stand_ins
         if (
-            wait := max(stand_ins.held(requester.name, self.name), stand_ins.held(self.name, requester.name))
+            wait := max(stand_ins.blocked_for(requester.name, self.name), stand_ins.blocked_for(self.name, requester.name))
         ) > 0:
             await anyio.sleep(wait)  # the link is blocked: the request is delayed until it recovers
         condition = self.condition()
@@ -125,13 +125,13 @@
             raise FillError("src_broke")
         if stand_ins.rng.random() < condition.hang:
             await anyio.sleep(3600)
-        if stand_ins.rng.random() < condition.shed or self.in_progress > self.kind.lanes * (1 + QUEUE):
+        if stand_ins.rng.random() < condition.shed or self.in_progress > self.kind.slots * (1 + QUEUE_FACTOR):
             raise FillError("src_refused")
         self.in_progress += 1
         try:
             async with self.free_slots:
                 await anyio.sleep(
-                    FETCH[self.kind.role] * (0.8 + 0.4 * stand_ins.rng.random()) + condition.delay
+                    FIRST_BYTE[self.kind.role] * (0.8 + 0.4 * stand_ins.rng.random()) + condition.delay
                 )
                 if self.condition().down:
                     raise FillError("src_broke")
@@ -141,7 +141,7 @@
                 if self.kind.role == "vault":
                     copy: Copy | None = Copy(stand_ins.unix_ms(), size, group)
                 else:
-                    copy = self.shelf.find(key, stand_ins.unix_ms(), max_age)
+                    copy = self.store.lookup(key, stand_ins.unix_ms(), max_age)
                     if copy is None:
                         if only_if_cached:
                             raise FillError("src_lacks")
@@ -160,9 +160,9 @@
 
         async def run() -> None:
             try:
-                with anyio.fail_after(LONGEST):
+                with anyio.fail_after(FILL_TIMEOUT):
                     copy, note = await fill_function()
-                self.shelf.keep(key, copy)
+                self.store.store(key, copy)
                 future.set_result((copy, note))
             except FillError as error:
                 future.set_exception(error)
@@ -174,8 +174,8 @@
                 if not future.done():
                     future.set_exception(FillError("src_broke"))
 
-        assert self.world.group is not None
-        self.world.group.start_soon(run)
+        assert self.stand_ins.group is not None
+        self.stand_ins.group.start_soon(run)
         return future
 
     async def fill_from_origin(self, key: Key, group: int, size: int, max_age: int) -> tuple[Copy, str]:
@@ -183,7 +183,7 @@
         running = self.fills.get(key)
         if running is None:
             running = self.start_fill(
-                key, lambda: self.world.origin.serve_fill(self, key, group, size, max_age, False)
+                key, lambda: self.stand_ins.origin.serve_fill(self, key, group, size, max_age, False)
             )
         try:
             copy, _ = await asyncio.shield(running)
@@ -192,7 +192,7 @@
         return copy, "via_origin"
 
 
-class CacheLink(TcpConnection):
+class CacheConnection(TcpConnection):
     """One gateway's connection to a node."""
 
     def __init__(self, node: Node) -> None:
@@ -204,39 +204,39 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.peer_address = transport.get_extra_info("peername")
-        self.node.links.add(self)
+        self.node.connections.add(self)
 
     def handle_close(self) -> None:
-        self.node.links.discard(self)
+        self.node.connections.discard(self)
         for scope in list(self.open_gets.values()):
             scope.cancel()
 
     def handle_data(self, data: bytes) -> None:
         try:
             for command in self.commands.feed(data):
-                self.obey(command)
+                self.handle_command(command)
         except wire.ProtocolError as error:
-            self.node.world.report_violation(f"{self.node.name} received a malformed command: {error}")
+            self.node.stand_ins.report_violation(f"{self.node.name} received a malformed command: {error}")
             self.close("malformed")
 
-    def obey(self, command: wire.Command) -> None:
+    def handle_command(self, command: wire.Command) -> None:
         if command.word == "HELO":
             self.send(wire.encode_answer(command.ident, "green", {}))
         elif command.word == "STOP":
             if (scope := self.open_gets.get(command.ident)) is not None:
                 scope.cancel()
         elif command.ident in self.open_gets:
-            self.node.world.report_violation(f"{self.node.name} received the id of an open GET")
+            self.node.stand_ins.report_violation(f"{self.node.name} received the id of an open GET")
             self.close("malformed")
         else:
-            group = self.node.world.group
+            group = self.node.stand_ins.group
             if group is not None:
                 scope = self.open_gets[command.ident] = anyio.CancelScope()
                 group.start_soon(self.handle_get, command, scope)
 
     async def handle_get(self, command: wire.Command, scope: anyio.CancelScope) -> None:
         """Processes one GET until its answer is sent, its time is over, or it is cancelled."""
-        node, stand_ins, fields = self.node, self.node.world, command.fields
+        node, stand_ins, fields = self.node, self.node.stand_ins, command.fields
         node.gets_received += 1
         try:
             with scope, anyio.move_on_after(int(fields["ms"]) / 1000):
@@ -252,19 +252,19 @@
 
     async def process_get(self, command: wire.Command) -> tuple[str, dict[str, str], bytes]:
         """Returns the result word, the fields and the body of the answer."""
-        node, stand_ins, fields = self.node, self.node.world, command.fields
+        node, stand_ins, fields = self.node, self.node.stand_ins, command.fields
         condition = node.condition()
         key = (fields["kind"], fields["obj"], fields["seg"])
         stand_ins.check_forward(node, fields, self.peer_address)
         if stand_ins.rng.random() < condition.hang:
             await anyio.sleep(3600)
-        full = node.in_progress >= node.kind.lanes * (1 + QUEUE)
+        full = node.in_progress >= node.kind.slots * (1 + QUEUE_FACTOR)
         if full or stand_ins.rng.random() < condition.shed:
             return "overload", {}, b""
         node.in_progress += 1
         try:
             async with node.free_slots:
-                await anyio.sleep(HIT + condition.delay)
+                await anyio.sleep(HIT_TIME + condition.delay)
                 if stand_ins.rng.random() < condition.fail:
                     return "crashed", {}, b""
                 return await self.serve_object(key, fields, command.body)
@@ -274,12 +274,12 @@
     async def serve_object(
         self, key: Key, fields: dict[str, str], body: bytes
     ) -> tuple[str, dict[str, str], bytes]:
-        node, stand_ins = self.node, self.node.world
+        node, stand_ins = self.node, self.node.stand_ins
         group, size = stand_ins.describe(key)
         if token := fields.get("token"):
             return await self.run_effect(token, fields)
         max_age = int(fields.get("newer", "0"))
-        copy, note, waited = node.shelf.find(key, stand_ins.unix_ms(), max_age), "hit", 0.0
+        copy, note, waited = node.store.lookup(key, stand_ins.unix_ms(), max_age), "hit", 0.0
         if copy is None:
             source = stand_ins.by_uid.get(fields.get("fetch", ""))
             if source is None:
@@ -299,7 +299,7 @@
             answer_fields["took"] = f"{waited * 1000:.0f}"
         if fields.get("holds") == copy.version:
             return "still_good", answer_fields, b""
-        await anyio.sleep(copy.size / PACE)
+        await anyio.sleep(copy.size / BYTES_PER_SECOND)
         return "served", answer_fields, stand_ins.content(key, copy)
 
     async def fill(
@@ -312,7 +312,7 @@
         max_age: int,
         started_at: float,
     ) -> tuple[Copy, str, float]:
-        node, stand_ins = self.node, self.node.world
+        node, stand_ins = self.node, self.node.stand_ins
         directives = fields.get("handle", "").split("+")
         running, note = node.fills.get(key), "joined"
         if "collapse" not in directives or running is None:
@@ -326,7 +326,7 @@
 
     async def run_effect(self, token: str, fields: dict[str, str]) -> tuple[str, dict[str, str], bytes]:
         """Runs a GET that has an effect: at the origin, once for each token."""
-        stand_ins, started_at = self.node.world, self.node.world.now()
+        stand_ins, started_at = self.node.stand_ins, self.node.stand_ins.now()
         condition, source = (
             stand_ins.origin.condition(),
             stand_ins.by_uid.get(fields.get("fetch", ""), stand_ins.origin),
@@ -338,7 +338,7 @@
             return "crashed", {"res": "src_broke"}, b""  # nothing reached the origin, so nothing ran
         if condition.down:
             return "crashed", {"res": "origin_failed"}, b""
-        await anyio.sleep(FETCH["vault"] + condition.delay)
+        await anyio.sleep(FIRST_BYTE["vault"] + condition.delay)
         stand_ins.effects.run(token, stand_ins.now())
         waited = (stand_ins.now() - started_at) * 1000
         note = "filled" if source is stand_ins.origin else "via_origin"
@@ -348,12 +348,12 @@
 class DiscoveryServer:
     """The discovery service: sends numbered events, from the number after the one that a gateway names."""
 
-    def __init__(self, stand_ins: World) -> None:
-        self.world = stand_ins
+    def __init__(self, stand_ins: StandIns) -> None:
+        self.stand_ins = stand_ins
         self.events: list[wire.Event] = []
         self.per_gateway: list[DiscoveryServer] = []  # listeners with the same events, one for each gateway
         self.transform: Callable[[wire.Event], wire.Event] = lambda event: event  # applied to each sent event
-        self.links: set[DiscoveryConnection] = set()
+        self.connections: set[DiscoveryConnection] = set()
         self.server: asyncio.Server | None = None
         self.port = 0
 
@@ -365,13 +365,13 @@
     def publish(self, event: wire.Event) -> int:
         self.events.append(event)
         for server in (self, *self.per_gateway):
-            for connection in server.links:
+            for connection in server.connections:
                 connection.catch_up()
         return len(self.events)
 
     def add_listener(self, transform: Callable[[wire.Event], wire.Event]) -> DiscoveryServer:
         """Adds a listener that sends the same events, changed by `transform`."""
-        other = DiscoveryServer(self.world)
+        other = DiscoveryServer(self.stand_ins)
         other.events, other.transform = self.events, transform
         self.per_gateway.append(other)
         return other
@@ -380,7 +380,7 @@
         while True:
             await anyio.sleep(1.0)
             for server in (self, *self.per_gateway):
-                for connection in server.links:
+                for connection in server.connections:
                     connection.send_heartbeat()
 
 
@@ -393,10 +393,10 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.discovery.links.add(self)
+        self.discovery.connections.add(self)
 
     def handle_close(self) -> None:
-        self.discovery.links.discard(self)
+        self.discovery.connections.discard(self)
 
     def handle_data(self, data: bytes) -> None:
         if self.last_sent < 0:
@@ -431,21 +431,21 @@
     vault: NodeKind = field(default_factory=lambda: NodeKind("vault", 0, 48))
 
 
-class World:
+class StandIns:
     """All stand-ins of one run."""
 
     models = ("box", "hub", "vault")
 
     def __init__(
-        self, shape: Shape, plan: Plan, seed: int, describe: Callable[[Key], tuple[int, int]],
+        self, shape: Shape, plan: FaultPlan, seed: int, describe: Callable[[Key], tuple[int, int]],
         token_memory: float = 3.0,
     ) -> None:  # fmt: skip
         self.plan, self.rng, self.describe = plan, random.Random(seed), describe
-        self.effects = Effects(token_memory)
-        self.faults: list[str] = []  # protocol violations by gateways; the first 100
+        self.effects = EffectLog(token_memory)
+        self.violations: list[str] = []  # protocol violations by gateways; the first 100
         self.violation_count = 0
         self.group: TaskGroup | None = None
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         self.unix_offset_ms = time.time_ns() // 1_000_000 - time.monotonic_ns() // 1_000_000
         self.locations = (*(f"shop-{n + 1}" for n in range(shape.shops)), "hubs")
         self.nodes: dict[str, Node] = {}
@@ -464,7 +464,7 @@
             None
         )
         # returns the seconds for which nothing passes from one node to another
-        self.held: Callable[[str, str], float] = lambda a, b: 0.0
+        self.blocked_for: Callable[[str, str], float] = lambda a, b: 0.0
         # called for each fill request: requester, source
         self.on_fill: Callable[[Node, Node], None] = lambda requester, source: None
 
@@ -477,15 +477,15 @@
 
     def now(self) -> float:
         """Returns the seconds since the start of the run."""
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
     def unix_ms(self) -> int:
         return time.monotonic_ns() // 1_000_000 + self.unix_offset_ms
 
     def report_violation(self, text: str) -> None:
         self.violation_count += 1
-        if len(self.faults) < 100:
-            self.faults.append(text)
+        if len(self.violations) < 100:
+            self.violations.append(text)
 
     def check_forward(self, node: Node, fields: dict[str, str], peer_address: object) -> None:
         """Reports a forward that uses a draining node more than 1 s after its drain was announced."""
@@ -511,14 +511,14 @@
 
     def start(self) -> None:
         """Starts the time of the run."""
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
 
     def purge(self, object_id: str, group: int) -> None:
         issued = self.unix_ms()
         self.discovery.publish(wire.Purged(object_id, group, issued))
         for node in self.nodes.values():
             asyncio.get_running_loop().call_later(
-                SETTLE * self.rng.random(), node.shelf.purge, object_id, group, issued
+                PURGE_DELAY * self.rng.random(), node.store.purge, object_id, group, issued
             )
 
     def set_state(self, name: str, state: int) -> None:
@@ -558,5 +558,5 @@
         for server in (self.discovery, *self.discovery.per_gateway):
             if server.server is not None:
                 server.server.close()
-            for connection in list(server.links):
+            for connection in list(server.connections):
                 connection.close("stopped")
--- a/damsonstream/standins/shelf.py
+++ b/damsonstream/standins/shelf.py
@@ -26,7 +26,7 @@
         return f"{self.stamp:016x}"
 
 
-class Shelf:
+class CacheStore:
     """An LRU cache of copies, bounded in bytes."""
 
     def __init__(self, max_bytes: int) -> None:
@@ -37,7 +37,7 @@
         # Time of issue by object or group; the oldest are dropped first.
         self.purges: OrderedDict[str | int, int] = OrderedDict()
 
-    def find(self, key: Key, now: int, max_age: int) -> Copy | None:
+    def lookup(self, key: Key, now: int, max_age: int) -> Copy | None:
         """Returns the copy if it is at most `max_age` milliseconds old; 0: of any age."""
         copy = self.copies.get(key)
         if copy is None or (max_age and now - copy.stamp > max_age):
@@ -47,7 +47,7 @@
         self.hits += 1
         return copy
 
-    def keep(self, key: Key, copy: Copy) -> None:
+    def store(self, key: Key, copy: Copy) -> None:
         """Stores a copy, unless it was purged meanwhile, and evicts others to stay within the bound."""
         purged = max(self.purges.get(key[1], 0), self.purges.get(copy.group, 0))
         if copy.stamp < purged:  # it was in transit when it was purged
@@ -78,7 +78,7 @@
         self.used_bytes = 0
 
 
-class Effects:
+class EffectLog:
     """Records the effects of tokened GETs at the origin, to check rule 2 (no effect runs twice)."""
 
     def __init__(self, memory_seconds: float) -> None:
@@ -86,7 +86,7 @@
         self.recent: OrderedDict[str, float] = OrderedDict()  # token: when it ran, in seconds; expires
         self.runs = 0
         self.repeats = 0  # recognized repeats, which did not run again
-        self.doubles: list[str] = []  # tokens that ran twice, in violation of the rule
+        self.tokens_run_twice: list[str] = []  # tokens that ran twice, in violation of the rule
         self.all_tokens: set[str] = set()  # unbounded: a run is short
 
     def run(self, token: str, now: float) -> bool:
@@ -97,7 +97,7 @@
             self.repeats += 1
             return False
         if token in self.all_tokens:
-            self.doubles.append(token)
+            self.tokens_run_twice.append(token)
         self.recent[token] = now
         self.all_tokens.add(token)
         self.runs += 1
--- a/damsonstream/standins/traffic.py
+++ b/damsonstream/standins/traffic.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Offer:
+class ServiceProfile:
     """The load on one delivery service."""
 
     name: str
@@ -26,7 +26,7 @@
     objects: int
     skew: float  # exponent of the Zipf distribution
     size: int  # median object size in bytes
-    patience_ms: int  # the viewer timeout in milliseconds
+    viewer_timeout_ms: int  # the viewer timeout in milliseconds
     tokened: bool = False
 
 
@@ -36,19 +36,19 @@
 
     at: float  # seconds since the start of the run
     viewer: int
-    offer: Offer
-    thing: str
+    profile: ServiceProfile
+    obj: str
     part: int
     token: str
 
 
-def number(*parts: object) -> int:
+def hashed(*parts: object) -> int:
     """Returns a 64-bit hash that is the same in every process."""
     return int.from_bytes(blake2b(repr(parts).encode(), digest_size=8).digest(), "big")
 
 
 class Catalogue:
-    def __init__(self, profiles: tuple[Offer, ...], seed: int) -> None:
+    def __init__(self, profiles: tuple[ServiceProfile, ...], seed: int) -> None:
         self.profiles, self.seed = profiles, seed
         self.by_name = {profile.name: profile for profile in profiles}
         self.cumulative_weights = {
@@ -56,8 +56,8 @@
             for offer in profiles
         }
 
-    def thing(self, profile: Offer, rank: int) -> str:
-        return f"{number(self.seed, profile.name, rank):016x}"
+    def object_id(self, profile: ServiceProfile, rank: int) -> str:
+        return f"{hashed(self.seed, profile.name, rank):016x}"
 
     def group(self, object_id: str) -> int:
         return int(object_id, 16) % GROUPS
@@ -65,12 +65,12 @@
     def describe(self, key: Key) -> tuple[int, int]:
         """Returns the purge group and the size in bytes of an object's part, both derived from its key."""
         profile = self.by_name.get(key[0])
-        spread = 0.5 + (number(key) % 1000) / 500  # 0.5 to 2.5 times the median
+        spread = 0.5 + (hashed(key) % 1000) / 500  # 0.5 to 2.5 times the median
         return self.group(key[1]), int((profile.size if profile else 1000) * spread)
 
-    def draw(self, profile: Offer, rng: random.Random) -> str:
+    def draw(self, profile: ServiceProfile, rng: random.Random) -> str:
         weights = self.cumulative_weights[profile.name]
-        return self.thing(profile, bisect(weights, rng.random() * weights[-1]))
+        return self.object_id(profile, bisect(weights, rng.random() * weights[-1]))
 
 
 def arrivals(
--- a/damsonstream/standins/wire.py
+++ b/damsonstream/standins/wire.py
@@ -214,7 +214,7 @@
 class Purged:
     """A purge of one object, or of a group if the object's id is empty."""
 
-    thing: str
+    object_id: str
     group: int
     issued_ms: int
 
@@ -228,8 +228,8 @@
         kind, payload = 0, b""
     elif isinstance(event, tuple):
         kind, payload = 1 if whole else 2, b"".join(line.encode() for line in event)
-    elif event.thing:
-        kind, payload = 3, pack(">QQ", int(event.thing, 16), event.issued_ms)
+    elif event.object_id:
+        kind, payload = 3, pack(">QQ", int(event.object_id, 16), event.issued_ms)
     else:
         kind, payload = 4, pack(">HQ", event.group, event.issued_ms)
     return pack(">IQB", 9 + len(payload), number, kind) + payload
@@ -256,8 +256,8 @@
                 for line in event
             ]  # fmt: skip
             items.append({"no": number, "roster": {"rev": number, "all": number == 1, "targets": lines}})
-        elif event.thing:
-            items.append({"no": number, "recall": {"item": event.thing, "issued": event.issued_ms}})
+        elif event.object_id:
+            items.append({"no": number, "recall": {"item": event.object_id, "issued": event.issued_ms}})
         else:
             items.append({"no": number, "recall": {"lot": event.group, "issued": event.issued_ms}})
     return {"no": last, "items": items}
--- a/damsonstream/together/checks.py
+++ b/damsonstream/together/checks.py
@@ -66,20 +66,20 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class Observations:
     """Everything that was logged during one run; times are seconds since its start."""
 
-    names: list[str]
+    gateway_names: list[str]
     fills: list[Filled] = field(default_factory=list)
-    zones: dict[int, str] = field(default_factory=dict)  # zone name by its id in datagrams
+    zone_names: dict[int, str] = field(default_factory=dict)  # zone name by its id in datagrams
     forwards: list[Forwarded] = field(default_factory=list)
-    tries: list[Tried] = field(default_factory=list)
-    told: list[tuple[float, str, wire.Item]] = field(default_factory=list)  # time, sender, item
+    gets: list[Tried] = field(default_factory=list)
+    messages: list[tuple[float, str, wire.Item]] = field(default_factory=list)  # time, sender, item
     datagrams: list[tuple[float, str, int]] = field(default_factory=list)  # time, sender, bytes
     opened: list[tuple[float, str, str]] = field(default_factory=list)  # connections: time, gateway, node
     closed: list[tuple[float, str, str]] = field(default_factory=list)  # likewise
-    known: dict[str, int] = field(default_factory=dict)  # node's id in datagrams by its name
-    faults: list[str] = field(default_factory=list)  # protocol violations by gateways
+    source_ids: dict[str, int] = field(default_factory=dict)  # node's id in datagrams by its name
+    violations: list[str] = field(default_factory=list)  # protocol violations by gateways
 
     def forwards_matching(self, check: Check) -> list[Forwarded]:
         """Returns the forwards in the check's span that went to its node or named it as the source."""
@@ -90,31 +90,31 @@
         """Returns the items of a kind that were sent in the check's span, each with its sender."""
         return [
             (by, item)
-            for at, by, item in self.told
+            for at, by, item in self.messages
             if check.start <= at < check.end and isinstance(item, kind)
         ]
 
     def gets_matching(self, check: Check) -> list[Tried]:
         """Returns the viewers' GETs that were sent in the check's span to its gateway, or to any."""
-        return [t for t in self.tries if check.start <= t.at < check.end and check.of in ("", t.gateway)]
+        return [t for t in self.gets if check.start <= t.at < check.end and check.of in ("", t.gateway)]
 
 
-def forward_count(check: Check, seen: Seen) -> float:
+def forward_count(check: Check, seen: Observations) -> float:
     """Counts the forwards that used a node as cache or source."""
     return len(seen.forwards_matching(check))
 
 
-def forwarding_gateways(check: Check, seen: Seen) -> float:
+def forwarding_gateways(check: Check, seen: Observations) -> float:
     """Counts the gateways that sent such forwards."""
     return len({forward.gateway for forward in seen.forwards_matching(check)})
 
 
-def peak_forwards(check: Check, seen: Seen) -> float:
+def peak_forwards(check: Check, seen: Observations) -> float:
     """Returns the largest number of such forwards per second."""
     return peak_per_second(sorted(forward.at for forward in seen.forwards_matching(check)))
 
 
-def spilled_fills(check: Check, seen: Seen) -> list[Filled]:
+def spilled_fills(check: Check, seen: Observations) -> list[Filled]:
     """Returns the fills in the check's span that parents of a zone received from caches of another zone."""
     return [one for one in seen.fills if check.start <= one.at < check.end
             and one.home and one.zone and one.home != one.zone
@@ -131,23 +131,23 @@
     return maximum
 
 
-def peak_spilled_fills(check: Check, seen: Seen) -> float:
+def peak_spilled_fills(check: Check, seen: Observations) -> float:
     """Returns the largest number of fills per second that a zone received from other zones."""
     return peak_per_second(sorted(one.at for one in spilled_fills(check, seen)))
 
 
-def spilled_fill_count(check: Check, seen: Seen) -> float:
+def spilled_fill_count(check: Check, seen: Observations) -> float:
     """Counts the fills that a zone received from other zones."""
     return len(spilled_fills(check, seen))
 
 
-def peak_fills(check: Check, seen: Seen) -> float:
+def peak_fills(check: Check, seen: Observations) -> float:
     """Returns the largest number of fills per second requested from a node or from all parents of a zone."""
     return peak_per_second(sorted(one.at for one in seen.fills if check.start <= one.at < check.end
                                    and check.of in ("", one.source, one.zone)))  # fmt: skip
 
 
-def peak_direct_fills(check: Check, seen: Seen) -> float:
+def peak_direct_fills(check: Check, seen: Observations) -> float:
     """Returns the largest number of fills per second from caches (of a zone) directly to the origin."""
     return peak_per_second(sorted(one.at for one in seen.fills if check.start <= one.at < check.end
                                    and one.home and not one.zone
@@ -155,13 +155,13 @@
                                    and check.of in ("", one.home)))  # fmt: skip
 
 
-def fill_count(check: Check, seen: Seen) -> float:
+def fill_count(check: Check, seen: Observations) -> float:
     """Counts the fills requested from a node or from all parents of a zone."""
     return sum(check.start <= one.at < check.end and check.of in ("", one.source, one.zone)
                for one in seen.fills)  # fmt: skip
 
 
-def local_fill_share(check: Check, seen: Seen) -> float:
+def local_fill_share(check: Check, seen: Observations) -> float:
     """Returns the share of fills from parents (by caches of the zone, or of all) that stayed in the zone."""
     requested = [one for one in seen.fills if check.start <= one.at < check.end
                  and one.home and one.zone
@@ -169,76 +169,76 @@
     return sum(one.home == one.zone for one in requested) / len(requested) if requested else 0.0
 
 
-def reports_by_gateway(check: Check, seen: Seen, state: int) -> dict[int, float]:
+def reports_by_gateway(check: Check, seen: Observations, state: int) -> dict[int, float]:
     """Returns when each gateway (by index) first reported the zone to be in a state.
 
     Only the first epoch in which the state was reported within the span is considered.
     """
     reported: dict[int, dict[int, float]] = {}
-    for at, by, item in seen.told:
+    for at, by, item in seen.messages:
         if check.start <= at < check.end and isinstance(item, wire.ZoneItem) \
-                and item.state == state and seen.zones.get(item.zone) == check.of:  # fmt: skip
-            reported.setdefault(item.epoch, {}).setdefault(seen.names.index(by), at)
+                and item.state == state and seen.zone_names.get(item.zone) == check.of:  # fmt: skip
+            reported.setdefault(item.epoch, {}).setdefault(seen.gateway_names.index(by), at)
     return reported[min(reported)] if reported else {}
 
 
-def gateways_agreeing_on_loss(check: Check, seen: Seen) -> float:
+def gateways_agreeing_on_loss(check: Check, seen: Observations) -> float:
     """Counts the gateways that reported a zone lost within AGREEMENT_SECONDS of the first report."""
     report_times = reports_by_gateway(check, seen, 2)
     return sum(at - min(report_times.values()) <= AGREEMENT_SECONDS for at in report_times.values())
 
 
-def zone_loss_count(check: Check, seen: Seen) -> float:
+def zone_loss_count(check: Check, seen: Observations) -> float:
     """Counts the distinct losses of a zone (by epoch) that any gateway reported."""
     return len({item.epoch for _, item in seen.messages_matching(check, wire.ZoneItem)
-                if isinstance(item, wire.ZoneItem) and seen.zones.get(item.zone) == check.of
+                if isinstance(item, wire.ZoneItem) and seen.zone_names.get(item.zone) == check.of
                 and item.state == 2})  # fmt: skip
 
 
-def zone_change_count(check: Check, seen: Seen) -> float:
+def zone_change_count(check: Check, seen: Observations) -> float:
     """Counts the distinct state changes of a zone that any gateway reported."""
     return len({(item.epoch, item.step) for _, item in seen.messages_matching(check, wire.ZoneItem)
-                if isinstance(item, wire.ZoneItem) and seen.zones.get(item.zone) == check.of})  # fmt: skip
+                if isinstance(item, wire.ZoneItem) and seen.zone_names.get(item.zone) == check.of})  # fmt: skip
 
 
-def outcome_share(outcome: str) -> Callable[[Check, Seen], float]:
+def outcome_share(outcome: str) -> Callable[[Check, Observations], float]:
     """Returns a measurement of the share of viewers' GETs that had the outcome."""
 
-    def measure(check: Check, seen: Seen) -> float:
+    def measure(check: Check, seen: Observations) -> float:
         gets = seen.gets_matching(check)
         return sum(one.outcome == outcome for one in gets) / len(gets) if gets else 0.0
 
     return measure
 
 
-def get_count(check: Check, seen: Seen) -> float:
+def get_count(check: Check, seen: Observations) -> float:
     return len(seen.gets_matching(check))
 
 
-def suspecting_gateways(check: Check, seen: Seen) -> float:
+def suspecting_gateways(check: Check, seen: Observations) -> float:
     """Counts the gateways that reported that they no longer receive messages from the checked gateway."""
-    index = seen.names.index(check.of) if check.of else -1
+    index = seen.gateway_names.index(check.of) if check.of else -1
     return len({item.by for _, item in seen.messages_matching(check, wire.Suspicion)
                 if isinstance(item, wire.Suspicion) and item.of == index})  # fmt: skip
 
 
-def other_suspected_gateways(check: Check, seen: Seen) -> float:
+def other_suspected_gateways(check: Check, seen: Observations) -> float:
     """Counts the other gateways that were suspected by two or more gateways."""
     suspicions: dict[int, set[int]] = {}
     for _, item in seen.messages_matching(check, wire.Suspicion):
-        if isinstance(item, wire.Suspicion) and seen.names[item.of] != check.of:
+        if isinstance(item, wire.Suspicion) and seen.gateway_names[item.of] != check.of:
             suspicions.setdefault(item.of, set()).add(item.by)
     return sum(len(by) > 1 for by in suspicions.values())
 
 
-def trialling_gateways(check: Check, seen: Seen) -> float:
+def trialling_gateways(check: Check, seen: Observations) -> float:
     """Counts the gateways that announced a trial of the source."""
     return len({item.by for _, item in seen.messages_matching(check, wire.Trial)
                 if isinstance(item, wire.Trial)
-                and item.source == seen.known.get(check.of)})  # fmt: skip
+                and item.source == seen.source_ids.get(check.of)})  # fmt: skip
 
 
-def max_sources_trialled(check: Check, seen: Seen) -> float:
+def max_sources_trialled(check: Check, seen: Observations) -> float:
     """Returns the largest number of distinct sources of which one gateway announced trials."""
     trialled: dict[int, set[int]] = {}
     for _, item in seen.messages_matching(check, wire.Trial):
@@ -247,7 +247,7 @@
     return max((len(sources) for sources in trialled.values()), default=0)
 
 
-def lease_count(check: Check, seen: Seen) -> float:
+def lease_count(check: Check, seen: Observations) -> float:
     """Counts the granted leases, each once."""
     return len(
         {
@@ -258,7 +258,7 @@
     )
 
 
-def mean_bytes_per_second(check: Check, seen: Seen) -> float:
+def mean_bytes_per_second(check: Check, seen: Observations) -> float:
     """Returns the mean bytes per second that a gateway sent to its peers, or the gateway that sent most."""
     totals: dict[str, int] = {}
     for at, by, size in seen.datagrams:
@@ -267,12 +267,12 @@
     return max(totals.values(), default=0) / max(0.001, check.end - check.start)
 
 
-def connection_count(check: Check, seen: Seen) -> float:
+def connection_count(check: Check, seen: Observations) -> float:
     """Counts the connections that gateways opened to a node."""
     return sum(check.start <= at < check.end and check.of in ("", b) for at, _, b in seen.opened)
 
 
-def mean_open_connections(check: Check, seen: Seen) -> float:
+def mean_open_connections(check: Check, seen: Observations) -> float:
     """Returns the mean number of open connections to a node, or to the cache that has most."""
     totals: dict[str, float] = {}
     for ends, sign in ((seen.opened, 1.0), (seen.closed, -1.0)):
@@ -282,7 +282,7 @@
     return max(totals.values(), default=0.0) / max(0.001, check.end - check.start)
 
 
-CHECKS: dict[str, Callable[[Check, Seen], float]] = {
+CHECKS: dict[str, Callable[[Check, Observations], float]] = {
     "asked": forward_count,
     "asked-by": forwarding_gateways,
     "asked-a-second": peak_forwards,
@@ -321,18 +321,18 @@
     kept: bool
 
 
-def judge(check: Check, seen: Seen) -> Verdict:
+def evaluate_check(check: Check, seen: Observations) -> Verdict:
     measured = CHECKS[check.name](check, seen)
     kept = (check.least is None or measured >= check.least) and (check.most is None or measured <= check.most)
     name = f"{check.name} {check.of or 'all'} {check.start:g} to {check.end:g} s"
     return Verdict(name, check.bound(), round(measured, 4), kept)
 
 
-def told(seen: Seen) -> list[str]:
+def first_violations(seen: Observations) -> list[str]:
     """Returns the first three protocol violations that stand-ins observed."""
-    return seen.faults[:3]
+    return seen.violations[:3]
 
 
-def violations_verdict(seen: Seen) -> Verdict:
+def violations_verdict(seen: Observations) -> Verdict:
     """Returns the verdict that every run includes: no protocol violation, and no effect that ran twice."""
-    return Verdict("faults that stand-ins saw", "most 0", len(seen.faults), not seen.faults)
+    return Verdict("faults that stand-ins saw", "most 0", len(seen.violations), not seen.violations)
--- a/damsonstream/together/figures.py
+++ b/damsonstream/together/figures.py
@@ -11,10 +11,10 @@
 from damsonstream.demo import figures
 from damsonstream.together.script import Script
 
-PRICE = 0.01  # setting: share of all revenue that one full peer message per GET costs
+PEER_MESSAGE_COST = 0.01  # setting: share of all revenue that one full peer message per GET costs
 
 
-def homes(script: Script) -> tuple[Callable[[int], int], list[int]]:
+def shop_assignment(script: Script) -> tuple[Callable[[int], int], list[int]]:
     """Returns a function from gateway index to shop index, and the number of gateways of each shop."""
     if not script.zones:
         return (lambda index: 0), [len(script.gateways)]
@@ -24,7 +24,7 @@
     ]
 
 
-def zones(script: Script, caches: int) -> dict[str, str]:
+def zone_by_node(script: Script, caches: int) -> dict[str, str]:
     """Returns the zone of each parent and cache, where each shop has `caches` caches."""
     found = {hub: zone.name for zone in script.zones for hub in zone.hubs}
     for shop, zone in enumerate(script.zones, 1):
@@ -32,12 +32,12 @@
     return found
 
 
-def settings(
+def gateway_settings(
     script: Script, index: int, shop_of: Callable[[int], int], gateways_per_shop: Sequence[int],
     models: Sequence[str], locations: Sequence[str],
 ) -> dict[str, Any]:  # fmt: skip
-    result = figures.settings(sum(gateways_per_shop), models, locations)
-    result |= {"ordinal": index, "deductions": {"peer": PRICE}, "myZone": locations[shop_of(index)]}
+    result = figures.gateway_settings(sum(gateways_per_shop), models, locations)
+    result |= {"ordinal": index, "deductions": {"peer": PEER_MESSAGE_COST}, "myZone": locations[shop_of(index)]}
     result["familyInfo"]["zoneBalancers"] = [*gateways_per_shop, 0]
     result["limits"]["peerMessages"] = True
     initial_share, overload_multiple = script.cold_start
@@ -53,7 +53,7 @@
     return " ".join(f'"{name}"' for name in names)
 
 
-def hierarchy(script: Script, uids: Mapping[str, str], revision: int) -> str:
+def hierarchy_kdl(script: Script, uids: Mapping[str, str], revision: int) -> str:
     """Returns a revision of the hierarchy file as KDL; `uids` are the wire ids of the nodes by name."""
     origin = uids["vault"]
     lines = [f"revision {revision}", f"vault-cap {script.origin_cap:g}",
--- a/damsonstream/together/links.py
+++ b/damsonstream/together/links.py
@@ -34,7 +34,7 @@
     def end(self) -> float:
         return self.start + self.lasts
 
-    def meets(self, a: str, b: str) -> bool:
+    def applies_to(self, a: str, b: str) -> bool:
         """Returns whether the fault affects the link from `a` to `b`."""
         if self.kind in ("cut", "split", "break"):
             a_groups = [n for n, group in enumerate(self.groups) if a in group]
@@ -56,7 +56,7 @@
     jitter: float = 0.0
     repeat: float = 0.0
     hold: float = 0.0  # time until which messages are held back; 0: they are not
-    broken: bool = False  # a `break` fault is active
+    reset: bool = False  # a `break` fault is active
 
 
 CLEAR = LinkCondition()
@@ -68,8 +68,8 @@
     def __init__(self, faults: Iterable[LinkFault] = ()) -> None:
         self.faults = sorted(faults, key=lambda fault: (fault.start, fault.kind))
 
-    def between(self, a: str, b: str, at: float) -> LinkCondition:
-        faults = [fault for fault in self.faults if fault.start <= at < fault.end and fault.meets(a, b)]
+    def condition(self, a: str, b: str, at: float) -> LinkCondition:
+        faults = [fault for fault in self.faults if fault.start <= at < fault.end and fault.applies_to(a, b)]
         if not faults:
             return CLEAR
 
@@ -83,14 +83,14 @@
             cut=max((f.end for f in faults if f.kind in ("cut", "one-way", "split")), default=0.0),
             drop=maximum("drop"), delay=total("delay"), jitter=total("jitter"), repeat=maximum("repeat"),
             hold=max((fault.end for fault in faults if fault.kind == "hold"), default=0.0),
-            broken=any(fault.kind == "break" for fault in faults),
+            reset=any(fault.kind == "break" for fault in faults),
         )  # fmt: skip
 
-    def held(self, a: str, b: str, at: float) -> float:
+    def blocked_for(self, a: str, b: str, at: float) -> float:
         """Returns the seconds for which nothing passes from `a` to `b`, at least the delay of the link."""
-        condition = self.between(a, b, at)
+        condition = self.condition(a, b, at)
         return max(condition.delay, condition.cut - at if condition.cut else 0.0)
 
     def reset_times(self, a: str, b: str) -> list[float]:
         """Returns the times at which the open connections between them are reset."""
-        return [fault.start for fault in self.faults if fault.kind == "break" and fault.meets(a, b)]
+        return [fault.start for fault in self.faults if fault.kind == "break" and fault.applies_to(a, b)]
--- a/damsonstream/together/relay.py
+++ b/damsonstream/together/relay.py
@@ -29,8 +29,8 @@
 class RelayedDatagram:
     """A datagram that a gateway sent, and whether the relay delivered it."""
 
-    at: float
-    a: str
+    time: float
+    sender: str
     receiver: str
     data: bytes
     delivered: bool
@@ -43,7 +43,7 @@
     """
 
     def __init__(self, relay: DatagramRelay, sender: str, receiver: str) -> None:
-        self.relay, self.a, self.receiver = relay, sender, receiver
+        self.relay, self.sender, self.receiver = relay, sender, receiver
         self.transport: asyncio.DatagramTransport | None = None
         self.address: Address = (LOOPBACK, 0)
 
@@ -52,7 +52,7 @@
         self.address = transport.get_extra_info("sockname")
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
-        self.relay.relay(self.a, self.receiver, data)
+        self.relay.relay(self.sender, self.receiver, data)
 
 
 class DatagramRelay:
@@ -86,8 +86,8 @@
 
     def relay(self, sender: str, receiver: str, data: bytes) -> None:
         now = self.clock()
-        condition = self.links.between(sender, receiver, now)
-        lost = condition.cut > 0 or condition.broken or self.rng.random() < condition.drop
+        condition = self.links.condition(sender, receiver, now)
+        lost = condition.cut > 0 or condition.reset or self.rng.random() < condition.drop
         self.log.append(RelayedDatagram(now, sender, receiver, data, not lost))
         if lost:
             return
@@ -105,11 +105,11 @@
         if transport is not None and not transport.is_closing():
             transport.sendto(data, self.gateway_addresses[receiver])
 
-    def items(self, start: float = 0.0) -> list[tuple[RelayedDatagram, wire.Item]]:
+    def messages(self, start: float = 0.0) -> list[tuple[RelayedDatagram, wire.Item]]:
         """Returns the items of all logged datagrams that could be decoded."""
         found = []
         for datagram in self.log:
-            if datagram.at >= start:
+            if datagram.time >= start:
                 try:
                     found += [(datagram, item) for item in wire.decode(datagram.data).items]
                 except wire.UnreadableDatagram:
@@ -168,7 +168,7 @@
         self, gateway: str, target_name: str, target: Callable[[], Address], links: Links,
         clock: Callable[[], float], rng: random.Random,
     ) -> None:  # fmt: skip
-        self.a, self.target_name, self.target, self.links, self.clock, self.rng = (
+        self.gateway, self.target_name, self.target, self.links, self.clock, self.rng = (
             gateway,
             target_name,
             target,
@@ -192,13 +192,13 @@
     def schedule_resets(self) -> None:
         """Schedules the scripted connection resets; called when the time of the run starts."""
         loop = asyncio.get_running_loop()
-        for when in self.links.reset_times(self.a, self.target_name):
+        for when in self.links.reset_times(self.gateway, self.target_name):
             loop.call_later(max(0.0, when - self.clock()), self.reset)
 
     def connect_target(self, end: StreamEnd) -> None:
         """Opens the connection to the target, unless a `break` fault is active: then aborts the gateway's."""
-        condition = self.links.between(self.a, self.target_name, self.clock())
-        if condition.broken:
+        condition = self.links.condition(self.gateway, self.target_name, self.clock())
+        if condition.reset:
             if end.transport is not None:
                 end.transport.abort()
             return
@@ -219,9 +219,9 @@
     def relay(self, end: StreamEnd, data: bytes) -> None:
         now = self.clock()
         condition = (
-            self.links.between(self.a, self.target_name, now)
+            self.links.condition(self.gateway, self.target_name, now)
             if end.from_gateway
-            else self.links.between(self.target_name, self.a, now)
+            else self.links.condition(self.target_name, self.gateway, now)
         )
         if end.peer is None:
             return
--- a/damsonstream/together/rig.py
+++ b/damsonstream/together/rig.py
@@ -17,19 +17,19 @@
 import anyio
 
 from damsonstream.demo import play as demo
-from damsonstream.demo.figures import OFFERS, REMEMBERED
+from damsonstream.demo.figures import PROFILES, TOKEN_TTL
 from damsonstream.demo.fleet import Fleet, free_port
 from damsonstream.demo.scenario import Scenario
 from damsonstream.peers.council import hash_zone as zone_digest
 from damsonstream.peers.council import source_id
 from damsonstream.peers.pieces import FEATURES
 from damsonstream.standins import wire
-from damsonstream.standins.clients import Front
-from damsonstream.standins.faults import Plan
-from damsonstream.standins.servers import LOOPBACK, Node, NodeKind, Shape, World
+from damsonstream.standins.clients import LoadGenerator
+from damsonstream.standins.faults import FaultPlan
+from damsonstream.standins.servers import LOOPBACK, Node, NodeKind, Shape, StandIns
 from damsonstream.standins.traffic import GROUPS, Catalogue, arrivals
 from damsonstream.together import figures
-from damsonstream.together.checks import Filled, Forwarded, Seen, Tried
+from damsonstream.together.checks import Filled, Forwarded, Observations, Tried
 from damsonstream.together.links import Links
 from damsonstream.together.relay import DatagramRelay, StreamRelay
 from damsonstream.together.script import Script, Step
@@ -41,57 +41,57 @@
     """Everything that takes part in one run; `without` names the features of gateways to switch off."""
 
     def __init__(self, script: Script, without: frozenset[str], folder: Path, seed: int) -> None:
-        self.script, self.names = script, list(script.gateways)
+        self.script, self.gateway_names = script, list(script.gateways)
         self.rng = random.Random(seed)
-        self.catalogue = Catalogue(OFFERS, seed)
+        self.catalogue = Catalogue(PROFILES, seed)
         per_shop = [zone.caches for zone in script.zones] or [script.caches]
         shape = Shape(
-            len(per_shop), max(per_shop), script.hubs, NodeKind("cache", script.memory, script.lanes)
+            len(per_shop), max(per_shop), script.hubs, NodeKind("cache", script.cache_bytes, script.slots)
         )
-        self.world = World(shape, Plan(script.nodes), seed, self.catalogue.describe, REMEMBERED)
-        self.world.on_forward = self.record_forward
+        self.stand_ins = StandIns(shape, FaultPlan(script.nodes), seed, self.catalogue.describe, TOKEN_TTL)
+        self.stand_ins.on_forward = self.record_forward
         self.links = Links(script.links)
-        self.world.held, self.world.on_fill = self.held, self.record_fill
-        self.zones = figures.zones(script, max(per_shop))
+        self.stand_ins.blocked_for, self.stand_ins.on_fill = self.blocked_for, self.record_fill
+        self.zone_by_node = figures.zone_by_node(script, max(per_shop))
         self.revision = 0
         self.folder = folder
-        self.datagrams = DatagramRelay(self.names, self.links, self.world.now, random.Random(seed + 3))
+        self.datagrams = DatagramRelay(self.gateway_names, self.links, self.stand_ins.now, random.Random(seed + 3))
         self.node_streams: dict[tuple[str, str], StreamRelay] = {}
         self.discovery_streams: dict[str, StreamRelay] = {}
         self.scenario = Scenario(script.name, script.about, script.lasts, script.rate,
-                                 len(self.names), script.caches, script.hubs, (), ())  # fmt: skip
+                                 len(self.gateway_names), script.caches, script.hubs, (), ())  # fmt: skip
         features = "".join(f"    {name} #{str(name not in without).lower()}\n" for name in FEATURES)
         operator = f"peers {{\n{features}}}\n" + ('tiers "tiers.kdl"\n' if script.zones else "")
-        self.fleet = Fleet(folder, folder / "records", self.names, (), self.gateway_config, operator)
-        self.peer_ports = {name: free_port(socket.SOCK_DGRAM) for name in self.names}
-        self.front = Front(self.fleet.addresses, self.catalogue, self.world.now, seed + 1)
-        self.front.weights = script.weights
-        self.seen = Seen(self.names)
+        self.fleet = Fleet(folder, folder / "records", self.gateway_names, (), self.gateway_config, operator)
+        self.peer_ports = {name: free_port(socket.SOCK_DGRAM) for name in self.gateway_names}
+        self.generator = LoadGenerator(self.fleet.addresses, self.catalogue, self.stand_ins.now, seed + 1)
+        self.generator.weights = script.weights
+        self.seen = Observations(self.gateway_names)
         self.seed = seed
 
-    def held(self, a: str, b: str) -> float:
-        return self.links.held(a, b, self.world.now())
+    def blocked_for(self, a: str, b: str) -> float:
+        return self.links.blocked_for(a, b, self.stand_ins.now())
 
     def record_fill(self, requester: Node, source: Node) -> None:
-        zone_names = self.zones.get(requester.name, ""), self.zones.get(source.name, "")
-        self.seen.fills.append(Filled(self.world.now(), requester.name, source.name, *zone_names))
+        zone_names = self.zone_by_node.get(requester.name, ""), self.zone_by_node.get(source.name, "")
+        self.seen.fills.append(Filled(self.stand_ins.now(), requester.name, source.name, *zone_names))
 
     def write_tiers(self) -> None:
         """Writes the next revision of the hierarchy file, as an operator does."""
         self.revision += 1
-        uids = {name: node.uid for name, node in self.world.nodes.items()}
-        (self.folder / "tiers.kdl").write_text(figures.hierarchy(self.script, uids, self.revision))
+        uids = {name: node.uid for name, node in self.stand_ins.nodes.items()}
+        (self.folder / "tiers.kdl").write_text(figures.hierarchy_kdl(self.script, uids, self.revision))
 
     def event_for(self, name: str, event: wire.Event) -> wire.Event:
         """Returns a discovery event as one gateway receives it, with the relays' addresses for the nodes."""
         if not isinstance(event, tuple):
             return event
-        by_id = {node.id: node.name for node in self.world.nodes.values()}
+        by_id = {node.id: node.name for node in self.stand_ins.nodes.values()}
         return tuple(replace(line, address=self.node_streams[name, by_id[line.id]].address) for line in event)
 
     def gateway_config(self, name: str) -> dict[str, Any]:
-        config = demo.gateway_config(self.world, self.scenario)
-        stand_ins = self.world
+        config = demo.gateway_config(self.stand_ins, self.scenario)
+        stand_ins = self.stand_ins
         events = [(n, self.event_for(name, event)) for n, event in enumerate(stand_ins.discovery.events, 1)]
         host, port = self.discovery_streams[name].address
         config |= {
@@ -100,10 +100,10 @@
             "peer_listen": f"{LOOPBACK}:{self.peer_ports[name]}",
             "peers": self.datagrams.peer_addresses(name),
         }
-        config["settings"] = figures.settings(
+        config["settings"] = figures.gateway_settings(
             self.script,
-            self.names.index(name),
-            *figures.homes(self.script),
+            self.gateway_names.index(name),
+            *figures.shop_assignment(self.script),
             stand_ins.models,
             stand_ins.locations,
         )
@@ -118,17 +118,17 @@
             ),
             "",
         )
-        source = self.world.by_uid.get(fields.get("fetch", ""))
+        source = self.stand_ins.by_uid.get(fields.get("fetch", ""))
         self.seen.forwards.append(
-            Forwarded(self.world.now(), gateway, node.name, source.name if source else "")
+            Forwarded(self.stand_ins.now(), gateway, node.name, source.name if source else "")
         )
 
     async def open(self) -> None:
-        stand_ins = self.world
+        stand_ins = self.stand_ins
         await stand_ins.open()
         if self.script.zones:
             self.write_tiers()
-        for name in self.names:
+        for name in self.gateway_names:
             for node in stand_ins.nodes.values():
                 self.node_streams[name, node.name] = self.stream_to_node(name, node)
                 await self.node_streams[name, node.name].open()
@@ -145,23 +145,23 @@
         return self.stream(name, node.name, lambda: (LOOPBACK, node.port))
 
     def stream(self, a: str, b: str, target: Any) -> StreamRelay:
-        return StreamRelay(a, b, target, self.links, self.world.now, self.rng)
+        return StreamRelay(a, b, target, self.links, self.stand_ins.now, self.rng)
 
     async def sleep_until(self, at: float) -> None:
-        await anyio.sleep(max(0.0, at - self.world.now()))
+        await anyio.sleep(max(0.0, at - self.stand_ins.now()))
 
     async def run_step(self, step: Step) -> None:
         await self.sleep_until(step.at)
         if step.does == "purge":
             for number in sorted(self.rng.sample(range(GROUPS), max(1, round(step.amount * GROUPS)))):
-                self.world.purge("", number)
+                self.stand_ins.purge("", number)
         for name in step.to:
             if step.does == "stall":
                 self.fleet.pause(name)
             elif step.does == "kill":
                 self.fleet.kill(name)
             elif step.does == "drain":
-                self.world.set_state(name, 1)
+                self.stand_ins.set_state(name, 1)
         if step.does == "revise":
             self.write_tiers()
             self.fleet.reload()
@@ -173,27 +173,27 @@
                 elif step.does == "kill":
                     group.start_soon(self.fleet.start, name)
                 elif step.does == "drain":
-                    self.world.set_state(name, 0)
+                    self.stand_ins.set_state(name, 0)
 
     async def send_gets(self) -> None:
         script = self.script
-        gets = arrivals(self.catalogue, script.rate_at, script.most_rate(), script.lasts, VIEWER_COUNT,
+        gets = arrivals(self.catalogue, script.rate_at, script.max_rate(), script.lasts, VIEWER_COUNT,
                         self.seed + 2)  # fmt: skip
-        await self.front.send_and_drain(gets)
+        await self.generator.send_and_drain(gets)
 
-    async def run(self) -> Seen:
-        stand_ins, fleet, generator = self.world, self.fleet, self.front
+    async def run(self) -> Observations:
+        stand_ins, fleet, generator = self.stand_ins, self.fleet, self.generator
         try:
             await self.open()
             async with anyio.create_task_group() as group:
-                for name in self.names:
+                for name in self.gateway_names:
                     group.start_soon(fleet.start, name)
             async with anyio.create_task_group() as group:
                 stand_ins.start()
                 self.schedule_resets()
                 group.start_soon(stand_ins.run)
-                for name in self.names:
-                    group.start_soon(generator.keep, name)
+                for name in self.gateway_names:
+                    group.start_soon(generator.keep_connected, name)
                 await anyio.sleep(0.3)
                 async with anyio.create_task_group() as script:
                     for step in self.script.steps:
@@ -217,18 +217,18 @@
 
     def collect(self) -> None:
         """Copies the logs of the relays, stand-ins and viewers into the observations."""
-        seen, stand_ins = self.seen, self.world
-        seen.tries = [Tried(get.sent, get.gateway, get.outcome) for get in self.front.tries]
-        seen.told = [(sent.at, sent.a, item) for sent, item in self.datagrams.items()]
-        seen.datagrams = [(sent.at, sent.a, len(sent.data)) for sent in self.datagrams.log]
+        seen, stand_ins = self.seen, self.stand_ins
+        seen.gets = [Tried(get.sent, get.gateway, get.outcome) for get in self.generator.sent_gets]
+        seen.messages = [(sent.time, sent.sender, item) for sent, item in self.datagrams.messages()]
+        seen.datagrams = [(sent.time, sent.sender, len(sent.data)) for sent in self.datagrams.log]
         seen.opened = [(at, a, b) for (a, b), stream in self.node_streams.items() for at in stream.opened_at]
         seen.closed = [(at, a, b) for (a, b), stream in self.node_streams.items() for at in stream.closed_at]
-        seen.known = {node.name: source_id(node.uid) for node in stand_ins.nodes.values()}
-        seen.zones = {zone_digest(zone.name): zone.name for zone in self.script.zones}
-        seen.faults = [*stand_ins.faults, *self.front.faults, *stand_ins.effects.doubles]
+        seen.source_ids = {node.name: source_id(node.uid) for node in stand_ins.nodes.values()}
+        seen.zone_names = {zone_digest(zone.name): zone.name for zone in self.script.zones}
+        seen.violations = [*stand_ins.violations, *self.generator.violations, *stand_ins.effects.tokens_run_twice]
 
 
-async def play(script: Script, without: frozenset[str], folder: Path, seed: int) -> Seen:
+async def run_script(script: Script, without: frozenset[str], folder: Path, seed: int) -> Observations:
     """Runs a script once, with configurations, logs and records of the gateways in `folder`."""
     (folder / "records").mkdir(parents=True, exist_ok=True)
     return await Rig(script, without, folder, seed).run()
--- a/damsonstream/together/script.py
+++ b/damsonstream/together/script.py
@@ -16,8 +16,8 @@
 from damsonstream.together.checks import CHECKS, Check
 
 PROCESS_KINDS = ("stall", "kill")
-OWN = ("purge", "drain", "rate", "revise")
-LEAST, MOST = 3.0, 300.0  # seconds that a run may take
+CONTROL_KINDS = ("purge", "drain", "rate", "revise")
+MIN_DURATION, MAX_DURATION = 3.0, 300.0  # seconds that a run may take
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,7 +62,7 @@
 
     name: str
     about: str
-    piece: str  # the feature of the gateways that its checks demonstrate; may be empty
+    feature: str  # the feature of the gateways that its checks demonstrate; may be empty
     lasts: float  # seconds
     rate: float  # GETs per second
     gateways: tuple[str, ...]
@@ -72,8 +72,8 @@
     warm_up: float  # seconds until a restarted cache is warm, as configured in the gateways
     # Gateway settings: the share of its capacity that a cold cache starts with, and its overload multiple.
     cold_start: tuple[float, float]
-    lanes: int  # GETs that a cache processes at once
-    memory: int  # capacity of a cache in bytes
+    slots: int  # GETs that a cache processes at once
+    cache_bytes: int  # capacity of a cache in bytes
     zones: tuple[Zone, ...]  # empty: one shop and no hierarchy
     origin_cap: float  # fills per second that the origin may receive directly from caches; 0: unlimited
     nodes: tuple[Fault, ...]
@@ -86,7 +86,7 @@
         factors = [s.amount for s in self.steps if s.does == "rate" and s.at <= at < s.end]
         return self.rate * (max(factors) if factors else 1.0)
 
-    def most_rate(self) -> float:
+    def max_rate(self) -> float:
         return max([self.rate_at(0.0), *(self.rate_at(step.at) for step in self.steps)])
 
     def fault_count(self) -> int:
@@ -96,9 +96,9 @@
 
 def load(path: str) -> Script:
     document = kdl.read(path)
-    lasts = document.span("lasts", 12.0, LEAST)
-    if lasts > MOST:
-        raise document.fault(f"lasts longer than {MOST:g} s", "lasts")
+    lasts = document.span("lasts", 12.0, MIN_DURATION)
+    if lasts > MAX_DURATION:
+        raise document.fault(f"lasts longer than {MAX_DURATION:g} s", "lasts")
     feature = document.text("piece")
     if feature and feature not in FEATURES:
         raise document.fault(f"{feature} is none of {', '.join(FEATURES)}", "piece")
@@ -133,12 +133,12 @@
         elif does in NODE_KINDS:
             amount = section.number("amount", 1.0, 0, 1e6)
             faults += [Fault(name, does, at, duration, amount) for name in parse_names(section, "to", nodes)]
-        elif does in (*PROCESS_KINDS, *OWN):
+        elif does in (*PROCESS_KINDS, *CONTROL_KINDS):
             known = list(gateways) if does in PROCESS_KINDS else nodes
             to = () if does in ("purge", "rate", "revise") else parse_names(section, "to", known)
             steps.append(Step(at, does, to, duration, section.number("amount", 1.0, 0, 1e6)))
         else:
-            kinds = ", ".join((*links.KINDS, *NODE_KINDS, *PROCESS_KINDS, *OWN))
+            kinds = ", ".join((*links.KINDS, *NODE_KINDS, *PROCESS_KINDS, *CONTROL_KINDS))
             raise section.fault(f"{does or 'nothing'} is none of {kinds}", "does")
         section.finish()
     found = Script(
--- a/damsonstream/together/verdict.py
+++ b/damsonstream/together/verdict.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from damsonstream.together.checks import Seen, Verdict, judge, violations_verdict
+from damsonstream.together.checks import Observations, Verdict, evaluate_check, violations_verdict
 from damsonstream.together.script import Script
 
 
@@ -20,8 +20,8 @@
     checks: list[Verdict]
 
 
-def result(script: Script, without: frozenset[str], seen: Seen, seconds: float) -> Result:
-    verdicts = [judge(check, seen) for check in script.checks] + [violations_verdict(seen)]
+def evaluate(script: Script, without: frozenset[str], seen: Observations, seconds: float) -> Result:
+    verdicts = [evaluate_check(check, seen) for check in script.checks] + [violations_verdict(seen)]
     kept = all(verdict.kept for verdict in verdicts)
     return Result(script.name, "kept" if kept else "broken", len(script.gateways), script.fault_count(),
                   sorted(without), round(seconds, 1), verdicts)  # fmt: skip
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,7 +42,7 @@
     return i.ListEntry(name, location, state, units, cell, model, since)
 
 
-class Desk:
+class RouterDriver:
     """Drives one router and records its decisions as short lines of text.
 
     `attempts` holds the number of attempts (forwards) of each GET; the index of an attempt is its leg.
@@ -51,61 +51,61 @@
     def __init__(self, nodes: str = "c1 c2 p1 p2 o", **changes: Any) -> None:
         self.router, self.now, self.lines = Router(), 100 * S, list[str]()
         self.sent: dict[tuple[int, int], i.Forward] = {}
-        self.legs: dict[int, int] = {}
-        self.tell(i.Started(7, replace(FOOTPRINT, **changes)))
-        self.tell(i.ListUpdate("cached", tuple(entry(name) for name in nodes.split())))
+        self.attempts: dict[int, int] = {}
+        self.handle(i.Started(7, replace(FOOTPRINT, **changes)))
+        self.handle(i.ListUpdate("cached", tuple(entry(name) for name in nodes.split())))
 
-    def say(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.lines.append(f"{self.now / 10:.1f} {text}")
 
-    def tell(self, event: i.Event) -> list[i.Action]:
+    def handle(self, event: i.Event) -> list[i.Action]:
         """Passes an event to the router, and records and returns its actions."""
         actions = self.router.handle(self.now, event)
         for action in actions:
             match action:
                 case i.Forward(get=get):
-                    leg = self.legs.get(get, 0)
-                    self.legs[get], self.sent[get, leg] = leg + 1, action
+                    leg = self.attempts.get(get, 0)
+                    self.attempts[get], self.sent[get, leg] = leg + 1, action
                     extra = " copies-only" * action.only_if_cached + f" age<={action.max_age / 10:.1f}" * (
                         action.max_age > 0
                     )
-                    self.say(f"  GET {get} leg {leg} -> {action.cache} fill {action.source}{extra}")
+                    self.log(f"  GET {get} leg {leg} -> {action.cache} fill {action.source}{extra}")
                 case i.Wake():
                     pass
                 case i.Shed(get=get):
-                    self.say(f"  GET {get} shed, come back after {action.retry_after / 10:.0f}")
+                    self.log(f"  GET {get} shed, come back after {action.retry_after / 10:.0f}")
                 case i.Errored(get=get):
-                    self.say(f"  GET {get} errored")
+                    self.log(f"  GET {get} errored")
                 case i.Recall(get=get):
-                    self.say(f"  GET {get} leg {action.attempt} recalled")
+                    self.log(f"  GET {get} leg {action.attempt} recalled")
                 case i.Trace():
-                    self.say(f"  {action.text}")
+                    self.log(f"  {action.text}")
                 case i.SubscribeToList():
-                    self.say("  asks for the list")
+                    self.log("  asks for the list")
         return actions
 
-    def take(self, get: int, service: int = 0, thing: str = "", left: int = 0, group: int = 1) -> None:
+    def start(self, get: int, service: int = 0, object_id: str = "", left: int = 0, group: int = 1) -> None:
         """Passes a new GET with `left` ticks to the router; by default it has the viewer timeout."""
         left = left or FOOTPRINT.services[service].viewer_timeout
-        self.say(f"GET {get} {FOOTPRINT.services[service].name} {thing or f'/o/{get}'}")
-        self.tell(i.GetReceived(get, left, service, thing or f"/o/{get}", group, 0.0, False))
+        self.log(f"GET {get} {FOOTPRINT.services[service].name} {object_id or f'/o/{get}'}")
+        self.handle(i.GetReceived(get, left, service, object_id or f"/o/{get}", group, 0.0, False))
 
-    def end(
+    def finish(
         self, get: int, result: str, note: int = 0, leg: int = -1, took: int = 500, **load: float
     ) -> None:
         """Ends an attempt of a GET, by default the last one; `load` are the load values of the answer."""
-        leg = self.legs[get] - 1 if leg < 0 else leg
-        self.say(f"GET {get} leg {leg} {result}" + f" note {note}" * (note > 0))
+        leg = self.attempts[get] - 1 if leg < 0 else leg
+        self.log(f"GET {get} leg {leg} {result}" + f" note {note}" * (note > 0))
         cache, shared, first = self.sent[get, leg].cache, load.pop("shared", 0) > 0, int(load.pop("first", 0))
         over = result == "returned"
-        self.tell(i.ForwardEnded(get, leg, cache, result, took, first, note, over, shared, load))
+        self.handle(i.ForwardEnded(get, leg, cache, result, took, first, note, over, shared, load))
 
-    def wait(self, time: int, step: int = 200) -> None:
+    def advance(self, time: int, step: int = 200) -> None:
         """Advances the time, waking the router as its timers would."""
         until = self.now + time
         while self.now < until:
             self.now = min(until, self.now + step)
-            self.tell(i.Woken())
+            self.handle(i.Woken())
 
 
 class TraceCase(unittest.TestCase):
@@ -143,8 +143,8 @@
     """A cache or discovery server, written from the protocol's page, that records what it receives."""
 
     def __init__(self) -> None:
-        self.came: list[list[bytes]] = []  # complete commands to a cache
-        self.hellos: list[int] = []  # the event numbers after which clients asked
+        self.commands: list[list[bytes]] = []  # complete commands to a cache
+        self.hello_numbers: list[int] = []  # the event numbers after which clients asked
         self.frames: list[bytes] = []  # what the discovery server sends
         self.streams: list[SocketStream] = []
         self.changed = anyio.Event()
@@ -164,19 +164,19 @@
                     if len(parts) < int(command[1]) or at > len(data):
                         break
                     data = data[at:]
-                    self.came.append(parts)
+                    self.commands.append(parts)
                     self.changed.set()
 
     async def bulletin(self, stream: SocketStream) -> None:
         self.streams.append(stream)
         with suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self.hellos.append(int.from_bytes(await stream.receive(8), "big"))
+            self.hello_numbers.append(int.from_bytes(await stream.receive(8), "big"))
             for frame in self.frames:
                 await stream.send(frame)
             self.changed.set()
             await stream.receive()
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, holds: Callable[[], bool]) -> None:
         while not holds():
             self.changed = anyio.Event()
             await self.changed.wait()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -59,7 +59,7 @@
     """Returns for how many of three seeds a script keeps its bounds; `case`: script, feature switched off."""
     loaded, off = script.load(str(SCRIPTS / f"{case[0]}.kdl")), frozenset({case[1]} - {""})
     return sum(
-        verdict.result(loaded, off, Play(loaded, parse_footprint, off, seed).run(), 0.0).verdict == "kept"
+        verdict.evaluate(loaded, off, Play(loaded, parse_footprint, off, seed).run(), 0.0).verdict == "kept"
         for seed in (2, 3, 4)
     )
 
@@ -122,7 +122,7 @@
         cases: list[tuple[str, str]] = []
         for name in names:
             loaded = script.load(str(SCRIPTS / f"{name}.kdl"))
-            feature = "zones" if loaded.zones else loaded.piece
+            feature = "zones" if loaded.zones else loaded.feature
             cases += [(name, ""), *([(name, feature)] if feature else [])]
         lines = []
         with ProcessPoolExecutor(4, multiprocessing.get_context("spawn")) as pool:
@@ -148,14 +148,14 @@
         for name in baselines.NAMES:
             fleet = Play(smoke, parse_footprint, frozenset(), 3, router=baselines.maker(name, 3))
             record = fleet.run()
-            self.assertEqual((name, record.faults), (name, []))
-            self.assertGreater(sum(one.outcome == "returned" for one in record.tries), 500)
+            self.assertEqual((name, record.violations), (name, []))
+            self.assertGreater(sum(one.outcome == "returned" for one in record.gets), 500)
 
     def test_each_shop_is_a_location_of_its_own(self) -> None:
         loaded = script.load(str(SCRIPTS / "evidence.kdl"))
         emulation = Play(loaded, parse_footprint, frozenset(), 1, shops=6)
         record = emulation.run()
-        self.assertEqual((len(record.names), emulation.footprint(47).location), (48, "shop-6"))
+        self.assertEqual((len(record.gateway_names), emulation.footprint(47).location), (48, "shop-6"))
         self.assertEqual(emulation.footprint(47).location_gateways, 8)
         caches = {one.cache.rsplit("-", 1)[0] for one in record.forwards if one.gateway == "n48"}
         self.assertEqual(caches, {"cache-6"})
@@ -267,8 +267,8 @@
             self.assertEqual((loaded.nodes, loaded.steps), (drawn.nodes, drawn.steps))
             self.assertEqual(set(loaded.links), set(drawn.links))
         record = Play(drawn, parse_footprint, frozenset(), 1).run()
-        self.assertEqual(record.faults, [])
-        self.assertTrue(all(one.at < drawn.lasts + S for one in record.tries))
+        self.assertEqual(record.violations, [])
+        self.assertTrue(all(one.at < drawn.lasts + S for one in record.gets))
 
 
 if __name__ == "__main__":
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -334,7 +334,7 @@
             *fixture.old_bulletin.frames,
             list_frame(3, 2, (4, "127.0.0.1:9", 0, 1)),
         ]
-        await fixture.old_bulletin.until(lambda: bool(fixture.old_bulletin.hellos))
+        await fixture.old_bulletin.wait_until(lambda: bool(fixture.old_bulletin.hello_numbers))
         files = [
             "no file", "{", json.dumps({**fixture.document, "bulletin": "nowhere"}),
             json.dumps({**fixture.document, "limits": {"sockets": 1e999, "memory_mb": 1}}),
@@ -355,8 +355,8 @@
                 fixture.new_address if text == files[-1] else fixture.old_address,
             )
             fixture.file.touch()
-        await fixture.new_bulletin.until(lambda: bool(fixture.new_bulletin.hellos))
-        self.assertEqual(fixture.new_bulletin.hellos, [2])  # resumes after the last event
+        await fixture.new_bulletin.wait_until(lambda: bool(fixture.new_bulletin.hello_numbers))
+        self.assertEqual(fixture.new_bulletin.hello_numbers, [2])  # resumes after the last event
         while "s-00000004" not in fixture.server.cache_connections.pools:
             await anyio.sleep(0.005)
         self.assertEqual(fixture.server.counters.counts["bulletin.moved"], 1)
@@ -373,7 +373,7 @@
         await fixture.start(group)
         good_client, complete = await fixture.client(), get_records(1, self.fields("a0"))
         await good_client.send(complete)
-        await fixture.cache.until(lambda: len(fixture.cache.came) == 1)
+        await fixture.cache.wait_until(lambda: len(fixture.cache.commands) == 1)
         begin = fastcgi.record(fastcgi.BEGIN, 1, pack(">HB5x", 1, 1))
         cases = {
             "sends nothing": b"", "stops half way through a GET": complete[:40],
@@ -403,7 +403,7 @@
             await client.aclose()
         await fixture.cache.streams[-1].send(resp.array(pad_ident("a0"), b"served", b"res=hit", b"a"))
         lines += ["a well-behaved client meanwhile:", *await read_answers(good_client, 1)]
-        self.assertEqual(len(fixture.cache.came), 1)
+        self.assertEqual(len(fixture.cache.commands), 1)
         await anyio.sleep(0.4)  # an idle client that has sent a GET is not disconnected
         counts = fixture.server.counters.counts
         lines += [f"{name} {counts[name]}" for name in sorted(counts) if name.startswith("client.")]
@@ -424,11 +424,11 @@
 
         async def exchange(label: str, sent: bytes, reply: bytes = b"") -> None:
             lines.append(label)
-            before = len(cache.came)
+            before = len(cache.commands)
             await client.send(sent)
             if reply:
-                await cache.until(lambda: len(cache.came) > before)
-                lines.extend(f"  cache: {b' '.join(command).decode()}" for command in cache.came[before:])
+                await cache.wait_until(lambda: len(cache.commands) > before)
+                lines.extend(f"  cache: {b' '.join(command).decode()}" for command in cache.commands[before:])
                 for offset in range(0, len(reply), 50_000):
                     await cache.streams[-1].send(reply[offset : offset + 50_000])
             lines.extend(await read_answers(client, 1))
@@ -443,21 +443,21 @@
         await exchange("unknown service", get_records(3, self.fields("a2", SCRIPT_NAME="/v1/none")))
         await exchange("identifier with a comma", get_records(3, self.fields("a,2=")))
         lines.append("two GETs, the first aborted, answers in reverse order")
-        before = len(cache.came)
+        before = len(cache.commands)
         await client.send(get_records(4, self.fields("b0")) + get_records(5, self.fields("b1")))
-        await cache.until(lambda: len(cache.came) == before + 2)
+        await cache.wait_until(lambda: len(cache.commands) == before + 2)
         await client.send(fastcgi.record(fastcgi.ABORT, 4))
-        await cache.until(lambda: len(cache.came) == before + 3)
-        lines.append(f"  cache: {b' '.join(cache.came[-1]).decode()}")
+        await cache.wait_until(lambda: len(cache.commands) == before + 3)
+        lines.append(f"  cache: {b' '.join(cache.commands[-1]).decode()}")
         late = resp.array(pad_ident("b0"), b"served", b"-", b"late")
         await cache.streams[-1].send(late + resp.array(pad_ident("b1"), b"served", b"res=hit", b"b1"))
         lines.extend(await read_answers(client, 2))
         lines.append("the only cache resets the connection")
-        before = len(cache.came)
+        before = len(cache.commands)
         await client.send(get_records(6, self.fields("c0")))
-        await cache.until(lambda: len(cache.came) == before + 1)
+        await cache.wait_until(lambda: len(cache.commands) == before + 1)
         await cache.streams[-1].aclose()
-        await cache.until(lambda: len(cache.came) == before + 2)  # retried at the same cache
+        await cache.wait_until(lambda: len(cache.commands) == before + 2)  # retried at the same cache
         await cache.streams[-1].aclose()
         lines.extend(await read_answers(client, 1))
         lines.append("a malformed record closes its connection")
@@ -473,11 +473,11 @@
             get_records(7, self.fields("d0")),
             next_one,
         )
-        await bulletin_server.until(lambda: len(bulletin_server.hellos) == 1)
+        await bulletin_server.wait_until(lambda: len(bulletin_server.hello_numbers) == 1)
         await bulletin_server.streams[-1].aclose()  # the watch resumes after the last event
-        await bulletin_server.until(lambda: len(bulletin_server.hellos) == 2)
+        await bulletin_server.wait_until(lambda: len(bulletin_server.hello_numbers) == 2)
         lines.append(
-            f"bulletin asked after {bulletin_server.hellos}, list {sorted(server.cache_connections.pools)}"
+            f"bulletin asked after {bulletin_server.hello_numbers}, list {sorted(server.cache_connections.pools)}"
         )
         os.kill(os.getpid(), signal.SIGTERM)
         last = resp.array(pad_ident("e0"), b"served", b"-", b"e")
@@ -527,10 +527,10 @@
                 forwards[1].stop()
                 may_connect.set()
                 with anyio.fail_after(5.0):
-                    await stand_in.until(lambda: len(stand_in.came) >= 2)
+                    await stand_in.wait_until(lambda: len(stand_in.commands) >= 2)
                     forwards[2].stop()
-                    await stand_in.until(lambda: len(stand_in.came) >= 3)
-                self.assertEqual([one[:2] for one in stand_in.came],
+                    await stand_in.wait_until(lambda: len(stand_in.commands) >= 3)
+                self.assertEqual([one[:2] for one in stand_in.commands],
                                  [[b"REQ", b"a"], [b"REQ", b"c"], [b"STOP", b"c"]])  # fmt: skip
                 group.cancel_scope.cancel()
 
@@ -555,12 +555,12 @@
                 return on_result
 
             async def send_forwards(*names: str) -> None:
-                before = len(stand_in.came)
+                before = len(stand_in.commands)
                 for name in names:
                     caches.send(
                         "c1", name.encode(), resp.array(b"REQ", name.encode(), b"-", b""), log_result(name)
                     )
-                await stand_in.until(lambda: len(stand_in.came) == before + len(names))
+                await stand_in.wait_until(lambda: len(stand_in.commands) == before + len(names))
 
             async def all_closed() -> None:
                 while caches.open_connections:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -5,7 +5,7 @@
 import unittest
 
 from damsonstream.together import script
-from damsonstream.together.checks import Seen, judge
+from damsonstream.together.checks import Observations, evaluate_check
 from tests import known_red
 from tests.known_red import BrokenBound
 from tests.test_together import SCRIPTS, unexpected
@@ -26,7 +26,7 @@
     def test_each_case_names_a_bound_of_a_shipped_script(self) -> None:
         for case in known_red.load():
             checks = script.load(str(SCRIPTS / f"{case.play}.kdl")).checks
-            verdicts = [judge(check, Seen([])) for check in checks]
+            verdicts = [evaluate_check(check, Observations([])) for check in checks]
             self.assertIn(case.bound, [f"{verdict.name} ({verdict.bound})" for verdict in verdicts])
 
     def test_cases_are_read_whole_or_refused(self) -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -25,7 +25,7 @@
 from damsonstream.routing import interface as i
 from damsonstream.virtual.fleet import Fleet
 from damsonstream.virtual.links import Links, S, block_incoming, partition
-from tests.helpers import FOOTPRINT, Desk, entry
+from tests.helpers import FOOTPRINT, RouterDriver, entry
 
 NO_FEATURES = frozenset(FEATURES) - {"evidence", "turns", "shares", "subsets", "members", "zones"}
 u32s = st.integers(0, 0xFFFFFFFF)
@@ -499,10 +499,10 @@
 class RouterWithFleet(unittest.TestCase):
     """How the router uses a fleet. Its behaviour without one is covered by the kept traces of test_router."""
 
-    def desk(self, cold: float = 0.2) -> tuple[Desk, FixedFleet]:
-        desk, asked = Desk("c1 c2 p1 p2 o"), FixedFleet()
-        desk.tell(i.Started(7, replace(FOOTPRINT, cold_share=cold), asked))
-        desk.tell(i.ListUpdate("full", tuple(entry(name) for name in ["c1", "c2", "p1", "p2", "o"])))
+    def desk(self, cold: float = 0.2) -> tuple[RouterDriver, FixedFleet]:
+        desk, asked = RouterDriver("c1 c2 p1 p2 o"), FixedFleet()
+        desk.handle(i.Started(7, replace(FOOTPRINT, cold_share=cold), asked))
+        desk.handle(i.ListUpdate("full", tuple(entry(name) for name in ["c1", "c2", "p1", "p2", "o"])))
         return desk, asked
 
     def test_verdicts_of_peers_change_breakers(self) -> None:
@@ -510,13 +510,13 @@
         node = desk.router.nodes["p1"]
         for what, state in (("good", "Closed"), ("dead", "Open"), ("bad", "Open"), ("good", "Half-Open"),
                             ("well", "Closed"), ("bad", "Closed")):  # fmt: skip
-            desk.tell(i.PeerVerdict(node.peer_id, what))
+            desk.handle(i.PeerVerdict(node.peer_id, what))
             self.assertEqual((what, node.breaker.state), (what, state))
 
     def test_verdicts_do_not_open_the_last_closed_source(self) -> None:
         desk, _ = self.desk()
         for name in ("p1", "p2", "o"):
-            desk.tell(i.PeerVerdict(desk.router.nodes[name].peer_id, "dead"))
+            desk.handle(i.PeerVerdict(desk.router.nodes[name].peer_id, "dead"))
         self.assertEqual(desk.router.nodes["o"].breaker.state, "Closed")
 
     def test_its_part_limits_forwards_to_a_cold_cache(self) -> None:
@@ -524,12 +524,12 @@
         for part in (0.05, 0.8):
             desk, asked = self.desk(0.9)
             asked.share = part
-            desk.tell(i.ListUpdate("full", tuple(entry(n, since=desk.now) for n in ("c1", "c2")) +
+            desk.handle(i.ListUpdate("full", tuple(entry(n, since=desk.now) for n in ("c1", "c2")) +
                                  tuple(entry(n) for n in ("p1", "p2", "o"))))  # fmt: skip
             count = 0
             for number in range(300):
                 desk.now += S // 50
-                result = desk.tell(i.GetReceived(number, 2 * S, 1, f"t{number}", 0, 400.0, False))
+                result = desk.handle(i.GetReceived(number, 2 * S, 1, f"t{number}", 0, 400.0, False))
                 count += sum(isinstance(action, i.Forward) for action in result)
             sent.append(count)
         self.assertLess(2 * sent[0], sent[1])
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -14,7 +14,7 @@
 
 from damsonstream.settings import kdl
 from damsonstream.together import script
-from damsonstream.together.checks import Check, Forwarded, Seen, judge
+from damsonstream.together.checks import Check, Forwarded, Observations, evaluate_check
 from damsonstream.together.links import CLEAR, LinkFault, Links
 from tests import known_red
 from tests.known_red import BrokenBound, KnownRed
@@ -130,18 +130,18 @@
             LinkFault("delay", 0, 9, (both, frozenset()), 200),
         ])  # fmt: skip
         self.assertEqual(
-            [links.between(a, b, at).cut for a, b, at in
+            [links.condition(a, b, at).cut for a, b, at in
              (("n1", "n3", 2), ("n3", "n2", 2), ("n1", "n2", 2), ("n4", "n1", 3), ("n1", "n4", 3))],
             [5, 5, 0, 4, 0],
         )  # fmt: skip
-        self.assertEqual(links.between("n3", "n2", 6), CLEAR)
-        self.assertEqual(links.between("n1", "hub-1", 8).delay, 0.5)
+        self.assertEqual(links.condition("n3", "n2", 6), CLEAR)
+        self.assertEqual(links.condition("n1", "hub-1", 8).delay, 0.5)
 
     def test_checks_are_evaluated_over_their_span(self) -> None:
-        seen = Seen(["n1", "n2"])
+        seen = Observations(["n1", "n2"])
         for n in range(20):
             seen.forwards.append(Forwarded(n / 10, "n1" if n % 2 else "n2", "c", "h" if n > 4 else ""))
         checks = [Check("asked", "h", 0, 2, most=15), Check("asked", "h", 0, 1, most=4),
                   Check("asked-by", "", 0, 2, 2), Check("asked-a-second", "c", 0, 2, most=9)]  # fmt: skip
-        self.assertEqual([(v.seen, v.kept) for v in (judge(check, seen) for check in checks)],
+        self.assertEqual([(v.seen, v.kept) for v in (evaluate_check(check, seen) for check in checks)],
                          [(15, True), (5, False), (2, True), (11, False)])  # fmt: skip
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -23,13 +23,13 @@
 from damsonstream.console.history import History
 from damsonstream.demo import scenario
 from damsonstream.demo.check import Recorded, check
-from damsonstream.demo.play import Happened, Truth
+from damsonstream.demo.play import ExecutedStep, Truth
 from damsonstream.demo.verdict import recorded
 from damsonstream.incident import gather as reading
 from damsonstream.program import cli
 from damsonstream.records import model, segment, store
 from damsonstream.settings import kdl, operator
-from damsonstream.standins.clients import Try
+from damsonstream.standins.clients import ClientGet
 from tests.helpers import TraceCase
 from tests.test_incident import S, RecordScript, cache_lines
 
@@ -95,11 +95,11 @@
         }  # fmt: skip
         for name, step in steps.items():
             try:
-                found = scenario.scenario("own", kdl.parse(f"step {{ {step}; }}", "own.kdl"))
+                found = scenario.parse_scenario("own", kdl.parse(f"step {{ {step}; }}", "own.kdl"))
                 output.append(f"{name}: {found.steps}")
             except kdl.Fault as fault:
                 output.append(f"{name}: {fault}")
-        output += [f"shipped: {name}, {scenario.load(name).lasts:g} s" for name in scenario.shipped()]
+        output += [f"shipped: {name}, {scenario.load(name).lasts:g} s" for name in scenario.shipped_names()]
         self.check("scenarios", output)
 
 
@@ -215,11 +215,11 @@
                                 "accounting": {"complete": True, "verdicts": {}}}  # fmt: skip
 
         def truth(**changes: Any) -> Truth:
-            steps = [Happened(kill, 1005, 1007), Happened(slow, 1002, 1006)]
-            tries = [Try("a", "n1", "pages", "7f", 1.0, 0, "returned", 0.1, answers=1),
-                     Try("b", "n1", "pages", "7f", 4.8, 0, "lost", 0.2),
-                     Try("c", "n1", "pages", "7f", 4.9, 0, "returned", 0.05, answers=1)]  # fmt: skip
-            return Truth(steps, tries, [("n1", began + 5)], began=began, uids={"vault": "s-6"}, **changes)
+            steps = [ExecutedStep(kill, 1005, 1007), ExecutedStep(slow, 1002, 1006)]
+            tries = [ClientGet("a", "n1", "pages", "7f", 1.0, 0, "returned", 0.1, answers=1),
+                     ClientGet("b", "n1", "pages", "7f", 4.8, 0, "lost", 0.2),
+                     ClientGet("c", "n1", "pages", "7f", 4.9, 0, "returned", 0.05, answers=1)]  # fmt: skip
+            return Truth(steps, tries, [("n1", began + 5)], start=began, uids={"vault": "s-6"}, **changes)
 
         def gets(**changes: Any) -> dict[str, Any]:
             kept = {"a": ("n1", ["returned"], "once"), "b": ("n1", [], "crash")}
@@ -292,7 +292,7 @@
             path.write_bytes(data[:begin] + (b"" if name == "removed" else data[begin:end] * 2) + data[end:])
             self.assertEqual(run("records", "verify", str(damaged))[0], 1)
             summary = reading.summary(reading.analyze(damaged))
-            truth = Truth(began=0.0)
+            truth = Truth(start=0.0)
             wrong = [line for line in check(summary, recorded(damaged), truth) if "records of" in line]
             self.assertTrue(any(re.search("lost|doubled", line) for line in wrong), wrong)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -36,7 +36,7 @@
 from damsonstream.tiers.shape import CACHE, HUB, VAULT, Node, Topology, Zone, topology_of
 from damsonstream.tiers.verdicts import RANK
 from damsonstream.tiers.zones import DOUBT_S, LOST, RETURNING, TRIALS_TO_RETURN, WELL
-from tests.helpers import FOOTPRINT, Desk, S, TraceCase, entry
+from tests.helpers import FOOTPRINT, RouterDriver, S, TraceCase, entry
 
 EXAMPLES = Path("examples/tiers")
 
@@ -246,12 +246,12 @@
 
 
 class RouterIntegration(TraceCase):
-    def desk(self, service: SourceSelector | None) -> Desk:
-        desk = Desk("c1 p1 p2 p3 o", collapses_fills=False)
+    def desk(self, service: SourceSelector | None) -> RouterDriver:
+        desk = RouterDriver("c1 p1 p2 p3 o", collapses_fills=False)
         desk.lines.clear()
-        desk.router, desk.sent, desk.legs = type(desk.router)(), {}, {}
-        desk.tell(i.Started(7, replace(FOOTPRINT, collapses_fills=False), hierarchy=service))
-        desk.tell(i.ListUpdate("cached", tuple(entry(name) for name in ("c1", "p1", "p2", "p3", "o"))))
+        desk.router, desk.sent, desk.attempts = type(desk.router)(), {}, {}
+        desk.handle(i.Started(7, replace(FOOTPRINT, collapses_fills=False), hierarchy=service))
+        desk.handle(i.ListUpdate("cached", tuple(entry(name) for name in ("c1", "p1", "p2", "p3", "o"))))
         return desk
 
     def test_fills_stay_in_their_zone_and_spill_under_the_limit(self) -> None:
@@ -261,17 +261,17 @@
         desk = self.desk(service)
         fills: list[tuple[int, str]] = []
         for get in range(400):
-            desk.take(get)
-            while get in desk.router.gets and desk.legs.get(get):
-                forward = desk.sent[get, desk.legs[get] - 1]
+            desk.start(get)
+            while get in desk.router.gets and desk.attempts.get(get):
+                forward = desk.sent[get, desk.attempts[get] - 1]
                 if forward.source == forward.cache:
-                    desk.end(get, "lacking")
+                    desk.finish(get, "lacking")
                 elif forward.source in ("p1", "p2") and get >= 40:
-                    desk.end(get, "errored", note=7)
+                    desk.finish(get, "errored", note=7)
                 else:
                     fills.append((desk.now, forward.source))
-                    desk.end(get, "returned", note=2)
-            desk.wait(500)
+                    desk.finish(get, "returned", note=2)
+            desk.advance(500)
             service.tick(desk.now)
         self.assertEqual({source for at, source in fills if at < 102 * S}, {"p1", "p2"})
         self.assertEqual(service.coordinator.zone_state(desk.now, "north")[0], LOST)
