--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -34,18 +34,18 @@
     """Simulates 30 s in which a source fails at 8 s and works again at 18 s; returns the measurements."""
     run = fleet(count, seed, fault, features)
     run.track_share_sums()
-    run.until(8 * S)
+    run.run_until(8 * S)
     run.dead_sources.add(0)
     known, curve = 99.0, []
     for tenth in range(1, 101):
-        run.until(8 * S + tenth * S // 10)
+        run.run_until(8 * S + tenth * S // 10)
         curve.append(run.open_fraction(0))
         if known == 99.0 and curve[-1] >= 0.9:
             known = tenth / 10
     wasted, trials = run.wasted_fills, len(run.trials)
     fair = run.fairness()
     run.dead_sources.clear()
-    run.until(30 * S)
+    run.run_until(30 * S)
     bytes_per_second = sum(gateway.bytes_out for gateway in run.gateways) / count / 30
     return {
         "known": known,
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -29,19 +29,19 @@
 def measure(count: int, zones: int, seed: int, how: str, fault: str) -> dict[str, float]:
     """Runs one fleet through the loss and returns its figures by name."""
     fleet = ZoneFleet(count, zones, seed, how, links_with_fault(fault, seed))
-    fleet.until(8 * S)
+    fleet.run_until(8 * S)
     fleet.lose_zone("z0")
     agree = whole = 99.0
     first = -1.0
     for tenth in range(1, 101):
-        fleet.until(8 * S + tenth * S // 10)
+        fleet.run_until(8 * S + tenth * S // 10)
         held = fleet.fraction_in_state("z0", LOST)
         first = tenth / 10 if first < 0 and held > 0 else first
         if agree == 99.0 and held >= 0.99:
             agree = tenth / 10 - first
     fleet.restore_zone("z0")
     for tenth in range(1, 321):
-        fleet.until(18 * S + tenth * S // 10)
+        fleet.run_until(18 * S + tenth * S // 10)
         if whole == 99.0 and fleet.fraction_in_state("z0", WELL) == 1.0:
             whole = tenth / 10
     own = [f for f in fleet.fills if f.home == "z0"]
--- a/damsonstream/emulator/baselines.py
+++ b/damsonstream/emulator/baselines.py
@@ -19,7 +19,7 @@
 
 DEFAULT_ROUTER, NO_BREAKER = "mechanism", "no breaker"  # "mechanism" is the real router
 MAX_RETRIES = {"random": 1, "round robin": 1, "least loaded": 1, "fixed retry": 5}  # forwards after the first
-NAMES = (DEFAULT_ROUTER, NO_BREAKER, *MAX_RETRIES)
+ROUTERS = (DEFAULT_ROUTER, NO_BREAKER, *MAX_RETRIES)
 
 
 @dataclass(slots=True, eq=False)
@@ -153,7 +153,7 @@
         return actions
 
 
-def maker(name: str, seed: int) -> Callable[[int], EventHandler]:
+def policy_factory(name: str, seed: int) -> Callable[[int], EventHandler]:
     """Returns a function that makes the policy for the gateway at a given index."""
     if name == DEFAULT_ROUTER:
         return lambda index: Router()
--- a/damsonstream/emulator/engine.py
+++ b/damsonstream/emulator/engine.py
@@ -30,7 +30,7 @@
     def after(self, delay: int, callback: Callable[[], None]) -> None:
         self.at(self.now + delay, callback)
 
-    def until(self, time: int) -> None:
+    def run_until(self, time: int) -> None:
         heap = self.heap
         while heap and heap[0][0] <= time:
             self.now, _, callback = heappop(heap)
--- a/damsonstream/emulator/gateway.py
+++ b/damsonstream/emulator/gateway.py
@@ -27,7 +27,7 @@
 from damsonstream.together.checks import Forwarded
 
 if TYPE_CHECKING:
-    from damsonstream.emulator.play import Play
+    from damsonstream.emulator.play import Emulation
 
 ONE_WAY_DELAY = 3  # ticks on loopback and through a relay
 UPDATE_INTERVAL = 1_000  # ticks between updates of the hierarchy, as in program/tiering.py
@@ -69,7 +69,7 @@
 
 
 class Gateway:
-    def __init__(self, emulation: Play, index: int, name: str) -> None:
+    def __init__(self, emulation: Emulation, index: int, name: str) -> None:
         self.emulation, self.engine, self.index, self.name = emulation, emulation.engine, index, name
         self.alive, self.is_ready, self.incarnation, self.stalled = False, False, 0, False
         self.deferred: list[Callable[[], None]] = []  # arrived while the process was stalled
--- a/damsonstream/emulator/hunt.py
+++ b/damsonstream/emulator/hunt.py
@@ -33,13 +33,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
+class HuntResult:
     """The worst script of a search, after its shortening."""
 
     script: Script
-    figure: float  # score
-    drawn: int  # scripts evaluated
-    first: float  # score before the shortening
+    score: float  # score
+    evaluated: int  # scripts evaluated
+    first_score: float  # score before the shortening
 
 
 def draw_script(base: Script, rng: random.Random) -> Script:
@@ -90,7 +90,7 @@
     return [one for one in candidates if one.nodes or one.links or one.steps]
 
 
-def hunt(base: Script, evaluate: Evaluate, budget: int, seed: int) -> Found:
+def hunt(base: Script, evaluate: Evaluate, budget: int, seed: int) -> HuntResult:
     """Draws scripts with one part of the budget and shortens the worst with the rest."""
     rng, evaluated = random.Random(seed), 0
     worst: Script | None = None
@@ -111,10 +111,10 @@
             if (score := evaluate(candidate)) <= KEPT_SCORE * first_score:
                 worst, worst_score, improved = candidate, score, True
                 break
-    return Found(worst, worst_score, evaluated, first_score)
+    return HuntResult(worst, worst_score, evaluated, first_score)
 
 
-def text(script: Script) -> str:
+def to_kdl(script: Script) -> str:
     """Returns a drawn script as KDL. Zones are left out: the base script defines them."""
     lines = [f'about "{script.about}"', f'lasts "{script.lasts:g}s"', f"rate {script.rate:g}"]
     lines += [f"gateways {len(script.gateways)}", f"caches {script.caches}", f"hubs {script.hubs}"]
--- a/damsonstream/emulator/play.py
+++ b/damsonstream/emulator/play.py
@@ -42,16 +42,16 @@
 VIEWER_COUNT = 500
 
 
-class Unfit(Exception):
+class UnsupportedScript(Exception):
     """The script can't be emulated with these arguments."""
 
 
-class Play:
+class Emulation:
     """A fleet of gateways with its nodes and viewers, and the faults of a script."""
 
     def __init__(
         self, script: Script, footprint: Callable[[dict[str, Any]], Deployment], without: frozenset[str],
-        seed: int, *, shops: int = 1, router: Callable[[int], EventHandler] | None = None,
+        seed: int, *, shops: int = 1, make_router: Callable[[int], EventHandler] | None = None,
     ) -> None:  # fmt: skip
         """Sets up the fleet.
 
@@ -59,11 +59,11 @@
         router by default.
         """
         if shops > 1 and script.zones:
-            raise Unfit("a script with zones defines its own gateways, so shops must be 1")
+            raise UnsupportedScript("a script with zones defines its own gateways, so shops must be 1")
         self.script, self.seed, self.shops = script, seed, shops
         self.features = frozenset(FEATURES) - without
         self.rng, self.message_price = random.Random(seed), figures.PEER_MESSAGE_COST
-        self.make_router: Callable[[int], EventHandler] = router or (lambda index: Router())
+        self.make_router: Callable[[int], EventHandler] = make_router or (lambda index: Router())
         self.engine = Engine()
         self.links = Links(script.links)
         location_of, gateway_counts = figures.shop_assignment(script)
@@ -196,9 +196,9 @@
         self.viewers.start(
             arrivals(self.catalogue, self.rate, max_rate, script.lasts, VIEWER_COUNT, self.seed + 2)
         )
-        engine.until(int((script.lasts + clients.LINGER) * S))
+        engine.run_until(int((script.lasts + clients.LINGER) * S))
         while self.viewers.open and engine.now < (script.lasts + clients.LINGER + clients.DRAIN_TIMEOUT) * S:
-            engine.until(engine.now + S // 50)
+            engine.run_until(engine.now + S // 50)
         self.complete_record()
         return self.record
 
--- a/damsonstream/emulator/runs.py
+++ b/damsonstream/emulator/runs.py
@@ -26,7 +26,7 @@
 PACKAGES = ("routing", "peers", "tiers", "emulator", "together", "standins", "demo", "protocol")
 
 
-class Stopped(Exception):
+class WorkersDied(Exception):
     """Worker processes ended before their cells did, in each of MAX_POOLS pools."""
 
 
@@ -97,7 +97,7 @@
             except BrokenProcessPool:
                 continue
     if missing := [cell for cell in cells if cell not in outcomes]:
-        raise Stopped(
+        raise WorkersDied(
             f"worker processes died in {MAX_POOLS} pools; {len(missing)} of {len(cells)} runs are missing"
         )
     return [outcomes[cell] for cell in cells]
--- a/damsonstream/emulator/study.py
+++ b/damsonstream/emulator/study.py
@@ -17,13 +17,13 @@
 import msgspec
 import numpy as np
 
-from damsonstream.emulator.baselines import DEFAULT_ROUTER, NAMES
+from damsonstream.emulator.baselines import DEFAULT_ROUTER, ROUTERS
 from damsonstream.peers.pieces import FEATURES
 from damsonstream.settings import kdl
 from damsonstream.together import script
 from damsonstream.together.checks import CHECKS, Check
 
-MAX_SEEDS, MOST_SHOPS, MAX_CELLS = 200, 128, 5000
+MAX_SEEDS, MAX_SHOPS, MAX_CELLS = 200, 128, 5000
 MIN_PAIRS = 3  # with fewer the verdict is always "can't tell"
 RESAMPLES = 4000  # of the bootstrap; 100 of them lie below its 2.5% quantile
 CONFIDENCE = 0.95
@@ -126,8 +126,8 @@
         return (1,)
     shops = []
     for value in sections[0].args:
-        if isinstance(value, bool) or not isinstance(value, int) or not 1 <= value <= MOST_SHOPS:
-            raise sections[0].fault(f"{value!r} is not an integer from 1 to {MOST_SHOPS}")
+        if isinstance(value, bool) or not isinstance(value, int) or not 1 <= value <= MAX_SHOPS:
+            raise sections[0].fault(f"{value!r} is not an integer from 1 to {MAX_SHOPS}")
         shops.append(value)
     if not shops or len(sections) > 1:
         raise sections[0].fault("must be given once, with at least one number")
@@ -143,8 +143,8 @@
     for feature in without:
         if feature not in FEATURES:
             raise section.fault(f"{feature} is not one of {', '.join(FEATURES)}", "without")
-    if router not in NAMES:
-        raise section.fault(f"{router} is not one of {', '.join(NAMES)}", "router")
+    if router not in ROUTERS:
+        raise section.fault(f"{router} is not one of {', '.join(ROUTERS)}", "router")
     section.finish()
     return Policy(section.args[0], tuple(sorted(without)), router)
 
@@ -201,11 +201,11 @@
                     if outcome is not None and baseline is not None:
                         both.append((outcome.figures[index], baseline.figures[index]))
                 if both:
-                    comparisons.append(pair(measure, shops, policy.name, against, both))
+                    comparisons.append(compare_pairs(measure, shops, policy.name, against, both))
     return comparisons
 
 
-def pair(
+def compare_pairs(
     measure: Measure, shops: int, name: str, against: str, both: Sequence[tuple[float, float]]
 ) -> Comparison:
     """Compares two policies by the figures of each seed (`both`: the policy's and the other's).
--- a/damsonstream/emulator/viewers.py
+++ b/damsonstream/emulator/viewers.py
@@ -18,7 +18,7 @@
 from damsonstream.standins.traffic import Arrival, Catalogue
 
 if TYPE_CHECKING:
-    from damsonstream.emulator.play import Play
+    from damsonstream.emulator.play import Emulation
 
 MIN_TIME_LEFT = S // 20  # ticks; a viewer with less time left does not try again
 
@@ -51,7 +51,7 @@
 
 class Viewers:
     def __init__(
-        self, emulation: Play, catalogue: Catalogue, weights: dict[str, float], seed: int
+        self, emulation: Emulation, catalogue: Catalogue, weights: dict[str, float], seed: int
     ) -> None:  # fmt: skip
         self.emulation, self.engine, self.catalogue, self.weights = (
             emulation, emulation.engine, catalogue, weights,
--- a/damsonstream/program/commands/experiment.py
+++ b/damsonstream/program/commands/experiment.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from damsonstream.emulator import baselines, hunt, page, runs, study
-from damsonstream.emulator.play import Play, Unfit
+from damsonstream.emulator.play import Emulation, UnsupportedScript
 from damsonstream.peers.pieces import FEATURES
 from damsonstream.program import toollogs
 from damsonstream.program.commands.playing import print_result, run_or_exit, scripts
@@ -26,8 +26,8 @@
 def play(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
     """Simulates one cell of an experiment; called in worker processes."""
     policy = experiment.policy(cell.policy)
-    simulation = Play(experiment.script, parse_footprint, frozenset(policy.without), cell.seed, shops=cell.shops,
-                      router=baselines.maker(policy.router, cell.seed))  # fmt: skip
+    simulation = Emulation(experiment.script, parse_footprint, frozenset(policy.without), cell.seed, shops=cell.shops,
+                      make_router=baselines.policy_factory(policy.router, cell.seed))  # fmt: skip
     observed = simulation.run()
     figures = [checks.CHECKS[one.check.name](one.check, observed) for one in experiment.measures]
     return study.Outcome(cell.shops, cell.policy, cell.seed, [round(float(x), 6) for x in figures],
@@ -104,7 +104,7 @@
 
     try:
         outcomes = run_or_exit(lambda: runs.run(loaded, folder, workers, code, play, progress))
-    except (Unfit, runs.Stopped) as fault:
+    except (UnsupportedScript, runs.WorkersDied) as fault:
         click.echo(fault, err=True)
         return 2
     result = page.Result(loaded.name, loaded.about, code, study.digest(outcomes),
@@ -156,7 +156,7 @@
             both = [(one.figures[index], old.figures[index]) for one, old in matched if old is not None]
             if both:
                 measured = study.Measure(title, checks.Check("", "", 0, 0), "more")
-                pair = study.pair(measured, 0, policy, "before", both)
+                pair = study.compare_pairs(measured, 0, policy, "before", both)
                 verdict_text = "differs" if pair.verdict != "can't tell" else "can't tell"
                 click.echo(f"{verdict_text:10}  {policy}, {title}: {pair.base:g} to {pair.mean:g} "
                            f"({pair.low:+.3g} to {pair.high:+.3g}, {pair.pairs} pairs)")  # fmt: skip
@@ -170,7 +170,7 @@
     """List the experiments of a folder, and what they can vary."""
     for loaded in scripts(folder, study.load):
         click.echo(f"{loaded.name:18} {len(loaded.cells())} simulations: {loaded.about}")
-    click.echo(f"routers: {', '.join(baselines.NAMES)}")
+    click.echo(f"routers: {', '.join(baselines.ROUTERS)}")
     click.echo(f"features: {', '.join(FEATURES)}")
     return 0
 
@@ -181,14 +181,14 @@
     "--without", multiple=True, type=click.Choice(FEATURES), help="Switch off a feature of the peer exchange."
 )
 @click.option("--seed", default=1, show_default=True, help="Seed of the random number generators.")
-@click.option("--shops", default=1, show_default=True, type=click.IntRange(1, study.MOST_SHOPS))
+@click.option("--shops", default=1, show_default=True, type=click.IntRange(1, study.MAX_SHOPS))
 def emulate(file: str, without: tuple[str, ...], seed: int, shops: int) -> int:
     """Run a script of `together` in virtual time. Exit code 0 if every bound was kept, 1 if not."""
     toollogs.begin("warning")
     try:
         loaded = script.load(file)
-        simulation = Play(loaded, parse_footprint, frozenset(without), seed, shops=shops)
-    except (kdl.Fault, Unfit) as fault:
+        simulation = Emulation(loaded, parse_footprint, frozenset(without), seed, shops=shops)
+    except (kdl.Fault, UnsupportedScript) as fault:
         click.echo(fault, err=True)
         return 2
     observed = simulation.run()
@@ -220,16 +220,16 @@
         return 2
 
     def returned(one: script.Script, without: frozenset[str]) -> float:
-        observed = Play(one, parse_footprint, without, seed).run()
+        observed = Emulation(one, parse_footprint, without, seed).run()
         return checks.CHECKS["returned"](checks.Check("returned", "", 0.0, one.lasts), observed)
 
     alone = frozenset(FEATURES) - {"zones"}
     found = run_or_exit(
         lambda: hunt.hunt(base, lambda one: returned(one, frozenset()) - returned(one, alone), budget, seed)
     )
-    text = hunt.text(found.script)
-    click.echo(f"{found.drawn} scripts evaluated; share returned with the peer exchange minus share without: "
-               f"{found.figure:+.4f} (before the script was shortened: {found.first:+.4f})")  # fmt: skip
+    text = hunt.to_kdl(found.script)
+    click.echo(f"{found.evaluated} scripts evaluated; share returned with the peer exchange minus share without: "
+               f"{found.score:+.4f} (before the script was shortened: {found.first_score:+.4f})")  # fmt: skip
     click.echo(text, nl=False)
     write_file(out, text)
-    return 1 if found.figure < -MIN_LOSS_SHARE else 0
+    return 1 if found.score < -MIN_LOSS_SHARE else 0
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -12,7 +12,7 @@
 
 from damsonstream.emulator import baselines, hunt, runs, study
 from damsonstream.emulator.engine import Engine, Process, S, Semaphore, Signal
-from damsonstream.emulator.play import Play, Unfit
+from damsonstream.emulator.play import Emulation, UnsupportedScript
 from damsonstream.program.commands import experiment as command
 from damsonstream.program.config import parse_footprint
 from damsonstream.settings import kdl
@@ -59,7 +59,7 @@
     """Returns for how many of three seeds a script keeps its bounds; `case`: script, feature switched off."""
     loaded, off = script.load(str(SCRIPTS / f"{case[0]}.kdl")), frozenset({case[1]} - {""})
     return sum(
-        verdict.evaluate(loaded, off, Play(loaded, parse_footprint, off, seed).run(), 0.0).verdict == "kept"
+        verdict.evaluate(loaded, off, Emulation(loaded, parse_footprint, off, seed).run(), 0.0).verdict == "kept"
         for seed in (2, 3, 4)
     )
 
@@ -87,7 +87,7 @@
         engine.at(5, tasks[1].cancel)  # while it is queued
         engine.at(12, tasks[2].cancel)  # while it holds the slot
         engine.at(12, lambda: signal.set("yes"))
-        engine.until(100)
+        engine.run_until(100)
         self.assertEqual(log, ["0 a", "5 first", "10 c", "12 d", "12 signal yes"])
         self.assertEqual((engine.now, semaphore.free), (100, 1))
 
@@ -108,7 +108,7 @@
             engine.after(max(1, int(rng.expovariate(load / mean))), arrive)
 
         arrive()
-        engine.until(40_000 * 1000)
+        engine.run_until(40_000 * 1000)
         head = sum(load**n / f for n, f in ((0, 1), (1, 1), (2, 2)))
         tail = load**3 / 6 / (1 - load / 3)
         theory = tail / (head + tail) * mean / (3 - load)
@@ -135,7 +135,7 @@
         loaded = script.load(str(SCRIPTS / "smoke.kdl"))
 
         def digest(seed: int) -> str:
-            emulation = Play(loaded, parse_footprint, frozenset(), seed)
+            emulation = Emulation(loaded, parse_footprint, frozenset(), seed)
             emulation.run()
             return emulation.digest()
 
@@ -145,22 +145,22 @@
     def test_no_policy_breaks_a_rule(self) -> None:
         """No effect runs twice and no drained node gets a forward, with the baselines too."""
         smoke = script.load(str(SCRIPTS / "smoke.kdl"))
-        for name in baselines.NAMES:
-            fleet = Play(smoke, parse_footprint, frozenset(), 3, router=baselines.maker(name, 3))
+        for name in baselines.ROUTERS:
+            fleet = Emulation(smoke, parse_footprint, frozenset(), 3, make_router=baselines.policy_factory(name, 3))
             record = fleet.run()
             self.assertEqual((name, record.violations), (name, []))
             self.assertGreater(sum(one.outcome == "returned" for one in record.gets), 500)
 
     def test_each_shop_is_a_location_of_its_own(self) -> None:
         loaded = script.load(str(SCRIPTS / "evidence.kdl"))
-        emulation = Play(loaded, parse_footprint, frozenset(), 1, shops=6)
+        emulation = Emulation(loaded, parse_footprint, frozenset(), 1, shops=6)
         record = emulation.run()
         self.assertEqual((len(record.gateway_names), emulation.footprint(47).location), (48, "shop-6"))
         self.assertEqual(emulation.footprint(47).location_gateways, 8)
         caches = {one.cache.rsplit("-", 1)[0] for one in record.forwards if one.gateway == "n48"}
         self.assertEqual(caches, {"cache-6"})
-        with self.assertRaises(Unfit):
-            Play(script.load(str(SCRIPTS / "zone-loss.kdl")), parse_footprint, frozenset(), 1, shops=2)
+        with self.assertRaises(UnsupportedScript):
+            Emulation(script.load(str(SCRIPTS / "zone-loss.kdl")), parse_footprint, frozenset(), 1, shops=2)
 
 
 class Experiments(unittest.TestCase):
@@ -215,7 +215,7 @@
         more, less = experiment.measures
         higher = [(1.0 + n / 100, 0.9 + n / 100) for n in range(8)]
         mixed = [(1.0, 1.0 + (-1) ** n * n) for n in range(8)]
-        verdicts = [study.pair(measure, 1, "a", "b", both).verdict
+        verdicts = [study.compare_pairs(measure, 1, "a", "b", both).verdict
                     for measure, both in ((more, higher), (less, higher), (more, mixed),
                                           (more, higher[:2]))]  # fmt: skip
         self.assertEqual(verdicts, ["better", "worse", "can't tell", "can't tell"])
@@ -233,7 +233,7 @@
             )],
             [
                 f":8: measure: must be one of {', '.join(CHECKS)}",
-                f":8: policy.router: best is not one of {', '.join(baselines.NAMES)}",
+                f":8: policy.router: best is not one of {', '.join(baselines.ROUTERS)}",
                 ":8: policy.without: turn is not one of evidence, turns, shares, subsets, members, zones",
                 ":8: measure.better: most is not one of more, less",
                 ":8: shops: 0 is not an integer from 1 to 128",
@@ -251,9 +251,9 @@
         found = hunt.hunt(base, evaluate, 400, 5)
         worst = found.script
         self.assertEqual((worst.nodes, worst.links, {step.does for step in worst.steps}), ((), (), {"kill"}))
-        self.assertLessEqual(found.figure, hunt.KEPT_SCORE * found.first)
+        self.assertLessEqual(found.score, hunt.KEPT_SCORE * found.first_score)
         path = self.folder / "hunted.kdl"
-        path.write_text(hunt.text(worst))
+        path.write_text(hunt.to_kdl(worst))
         self.assertEqual(script.load(str(path)).steps, worst.steps)
 
     def test_drawn_scripts_can_be_run_and_read_back(self) -> None:
@@ -262,11 +262,11 @@
         for _ in range(40):
             drawn = hunt.draw_script(base, rng)
             path = self.folder / "drawn.kdl"
-            path.write_text(hunt.text(drawn))
+            path.write_text(hunt.to_kdl(drawn))
             loaded = script.load(str(path))
             self.assertEqual((loaded.nodes, loaded.steps), (drawn.nodes, drawn.steps))
             self.assertEqual(set(loaded.links), set(drawn.links))
-        record = Play(drawn, parse_footprint, frozenset(), 1).run()
+        record = Emulation(drawn, parse_footprint, frozenset(), 1).run()
         self.assertEqual(record.violations, [])
         self.assertTrue(all(one.at < drawn.lasts + S for one in record.gets))
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -301,22 +301,22 @@
         ):
             fleet, alone = self.fleet(40, links=links), self.fleet(40, features=NO_FEATURES)
             for one in (fleet, alone):
-                one.until(6 * S)
+                one.run_until(6 * S)
                 one.dead_sources.add(0)
-                one.until(12 * S)
+                one.run_until(12 * S)
             self.assertGreater(fleet.open_fraction(0), 0.7)
             self.assertLess(alone.open_fraction(0), 0.3)
             fleet.dead_sources.clear()
-            fleet.until(25 * S)
+            fleet.run_until(25 * S)
             self.assertLess(fleet.open_fraction(0), 0.2)
 
     def test_few_trials_while_a_source_is_dead(self) -> None:
         trial_counts = []
         for features in (frozenset(FEATURES), frozenset(FEATURES) - {"turns"}):
             fleet = self.fleet(40, features=features)
-            fleet.until(5 * S)
+            fleet.run_until(5 * S)
             fleet.dead_sources.add(0)
-            fleet.until(30 * S)
+            fleet.run_until(30 * S)
             trial_counts.append(len(fleet.trials))
         self.assertLess(trial_counts[0], 30)
         self.assertGreater(trial_counts[1], 60)
@@ -333,7 +333,7 @@
             fleet.at((6 + index % 3) * S, lambda index=index: fleet.kill(index))  # type: ignore[misc]
             fleet.at((9 + index % 4) * S, lambda index=index: fleet.restart(index))  # type: ignore[misc]
         fleet.at(12 * S, lambda: fleet.stall(1, 5 * S))
-        fleet.until(30 * S)
+        fleet.run_until(30 * S)
         self.assertGreater(sum(len(g.agent.fleet_shares.borrowed) for g in fleet.gateways), 3)
         self.assertLessEqual(fleet.max_share_sum["far"], 1.000001)
         self.assertLessEqual(fleet.max_share_sum["near"], 1.000001)
@@ -349,7 +349,7 @@
             fleet.at(11 * S + index * 1000, lambda index=index: fleet.restart(index))  # type: ignore[misc]
         busy = fleet.gateways[17]
         fleet.at(8 * S, lambda: setattr(busy, "demand", 10 * busy.demand))
-        fleet.until(24 * S)
+        fleet.run_until(24 * S)
         self.assertLessEqual(max(fleet.max_share_sum.values()), 1.000001)
         local = fleet.now + busy.clock_offset
         self.assertGreater(busy.agent.limit_share(local, False), 2 / 20)  # more than twice the equal share
@@ -392,12 +392,12 @@
         for index in range(40):
             follow(index)
         fleet.at(S, watch)
-        fleet.until(5 * S)
+        fleet.run_until(5 * S)
         works = False
-        fleet.until(11 * S)
+        fleet.run_until(11 * S)
         self.assertLess(max(carried("north")), 0.01)
         works = True
-        fleet.until(24 * S)
+        fleet.run_until(24 * S)
         ramp = carried("north")
         self.assertLess(max(ramp) - min(ramp), 0.16)
         self.assertLess(max(ramp), 0.9)
@@ -405,9 +405,9 @@
             fleet.kill(index)
             fleet.restart(index)
             follow(index)
-        fleet.until(30 * S)
+        fleet.run_until(30 * S)
         self.assertLess(max(carried("north")[:4]), 1.0)  # they continue the return at its current step
-        fleet.until(55 * S)
+        fleet.run_until(55 * S)
         self.assertEqual((set(carried("north")), set(carried("south"))), ({1.0}, {1.0}))
 
     def test_one_reporter_opens_no_other_breakers(self) -> None:
@@ -417,7 +417,7 @@
         fleet.is_dead_for = lambda index, source: (
             (source, index) == (0, 7) or (source == 1 and index % 2 == 0)
         )
-        fleet.until(15 * S)
+        fleet.run_until(15 * S)
         self.assertEqual([g.index for g in fleet.gateways if g.breakers[0].open and g.index != 7], [])
         odd = [g for g in fleet.gateways if g.index % 2]
         even = [g for g in fleet.gateways if not g.index % 2]
@@ -428,12 +428,12 @@
         links = Links(random.Random(4))
         links.cuts.append(partition(5 * S, 25 * S, lambda index: index < 10))
         fleet = self.fleet(30, links=links)
-        fleet.until(24 * S)
+        fleet.run_until(24 * S)
         status = {g.agent.members.own_status(fleet.now + g.clock_offset) for g in fleet.gateways}
         self.assertLessEqual(status, {"split", "well"})
         sides = [g.agent.members.own_status(fleet.now + g.clock_offset) for g in fleet.gateways]
         self.assertGreater(sides.count("split"), 24)
-        fleet.until(50 * S)
+        fleet.run_until(50 * S)
         status = {g.agent.members.own_status(fleet.now + g.clock_offset) for g in fleet.gateways}
         self.assertEqual(status, {"well"})
 
