--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -48,7 +48,7 @@
 def read(rows: int) -> None:
     with tempfile.TemporaryDirectory() as holder:
         path = Path(holder) / "cache-requests.csv"
-        character = shape.Character(gets=rows, rate=20_000, objects=1_000_000, alpha=0.9, once=0.1)
+        character = shape.TraceProfile(gets=rows, rate=20_000, objects=1_000_000, alpha=0.9, once=0.1)
         with path.open("w") as stream:
             for gets in shape.generate(character, 1):
                 times, objects = (gets["time"] // 1_000_000).tolist(), gets["object"].tolist()
@@ -108,7 +108,7 @@
 
 def misses() -> None:
     for alpha, once in ((0.6, 0.0), (0.9, 0.0), (0.9, 0.3), (1.2, 0.0)):
-        character = shape.Character(gets=1_000_000, objects=100_000, alpha=alpha, once=once)
+        character = shape.TraceProfile(gets=1_000_000, objects=100_000, alpha=alpha, once=once)
         exact, reuse = ExactReuse(), ReuseEstimator()
         for gets in shape.generate(character, 3):
             exact.add(gets["object"], gets["size"])
--- a/damsonstream/program/commands/traces.py
+++ b/damsonstream/program/commands/traces.py
@@ -16,10 +16,10 @@
 from damsonstream.settings import kdl
 from damsonstream.traces import format as formats
 from damsonstream.traces import shape
-from damsonstream.traces.gets import DRAWN, MOVED, WRITE, Options, name
-from damsonstream.traces.native import Native, Spoilt, Writing
-from damsonstream.traces.order import Rule
-from damsonstream.traces.reader import Reading
+from damsonstream.traces.gets import DRAWN, MOVED, WRITE, Options, fate_name
+from damsonstream.traces.native import NativeTrace, CorruptTrace, TraceWriter
+from damsonstream.traces.order import TimeRule
+from damsonstream.traces.reader import TraceReader
 
 FILE = click.Path(path_type=Path, exists=True, dir_okay=False)
 OUT = click.Path(path_type=Path, dir_okay=False)
@@ -96,8 +96,8 @@
             if len(self.paths) != 1:
                 raise click.UsageError("Several files must be CSV: give their --format.")
             try:
-                self.native = Native(self.paths[0])
-            except Spoilt as fault:
+                self.native = NativeTrace(self.paths[0])
+            except CorruptTrace as fault:
                 raise click.UsageError(f"{fault}; for CSV give its --format.") from fault
             return
         try:
@@ -108,7 +108,7 @@
         except ValueError as fault:
             raise click.UsageError(f"--window {window} is not a duration such as 10s.") from fault
         options = Options(seed, sizes == "draw")
-        self.reading = Reading(self.paths, loaded, options, Rule(width, late=late, steps=steps), shards)
+        self.reading = TraceReader(self.paths, loaded, options, TimeRule(width, late=late, steps=steps), shards)
 
     def batches(self) -> Iterator[np.ndarray]:
         """Yields the GETs in batches."""
@@ -120,7 +120,7 @@
     def about(self) -> dict[str, Any]:
         """Returns the description that is stored with a trace."""
         if self.reading is not None:
-            return {key: value for key, value in self.reading.told().items() if key != "examples"}
+            return {key: value for key, value in self.reading.summary().items() if key != "examples"}
         assert self.native is not None
         return self.native.about
 
@@ -133,7 +133,7 @@
     def guarded(*arguments: Any, **named: Any) -> int:
         try:
             return command(*arguments, **named)
-        except Spoilt as fault:
+        except CorruptTrace as fault:
             click.echo(f"Error: {fault}", err=True)
             return 2
 
@@ -189,7 +189,7 @@
             if (lines and line not in lines) or shown >= limit:
                 continue
             shown += 1
-            verdict = "used" if not fate else f"{'mended' if fate < 128 else 'skipped'}: {name(fate)}"
+            verdict = "used" if not fate else f"{'mended' if fate < 128 else 'skipped'}: {fate_name(fate)}"
             click.echo(f"{file}:{line}: {verdict}")
             click.echo(f"    {plain(text(line), 150)}")
             if get is not None and fate < 128:
@@ -235,20 +235,20 @@
     a GET, and is counted under the first rule that repaired it. Exit code 1 if a file was only partly
     readable.
     """
-    from damsonstream.traces.stats import Stats
+    from damsonstream.traces.stats import TraceStats
 
-    source, statistics = Source(files, **how), Stats()
+    source, statistics = Source(files, **how), TraceStats()
     for gets in source.batches():
         statistics.add(gets)
     about = source.about()
     if source.reading is not None:
-        about = source.reading.told()
-    whole = {**about, "stats": statistics.told()}
+        about = source.reading.summary()
+    whole = {**about, "stats": statistics.summary()}
     if html is not None:
         from damsonstream.program.commands.report import write_atomically
-        from damsonstream.traces.page import page
+        from damsonstream.traces.page import render_page
 
-        write_atomically(html, page(whole, statistics))
+        write_atomically(html, render_page(whole, statistics))
         click.echo(f"{html} written", err=True)
     if as_json:
         click.echo(json.dumps(whole, indent=1))
@@ -299,14 +299,14 @@
     """Writes a trace completely or not at all; `describe` is called at the end for more metadata."""
     from damsonstream.traces.digest import Digest
 
-    writing, digest = Writing(output, about), Digest()
+    writing, digest = TraceWriter(output, about), Digest()
     try:
         for gets in batches:
             digest.add(gets)
             writing.add(gets)
         writing.close(**{**describe(), "digest": digest.hex()})
     except BaseException:
-        writing.drop()
+        writing.discard()
         raise
     click.echo(
         f"{output}: {writing.rows} GETs, {output.stat().st_size / 1e6:.1f} MB, digest {digest.hex()}",
@@ -392,7 +392,7 @@
 def anonymize(file: Path, salt_file: Path | None, output: Path, **how: Any) -> int:
     """Replace the names of objects, clients and tenants by new ones that can't be linked without the salt."""
     source = Source([file], **how)
-    renaming = shape.Renaming(salt_file.read_bytes() if salt_file else secrets.token_bytes(32))
+    renaming = shape.Anonymizer(salt_file.read_bytes() if salt_file else secrets.token_bytes(32))
     about = {"made": {"anonymized": True}}
     return write_trace(output, about, (renaming.apply(gets) for gets in source.batches()), lambda: {})
 
@@ -435,7 +435,7 @@
         except (ValueError, KeyError, TypeError) as fault:
             raise click.UsageError(f"{like} is not what `traces stats --json` prints: {fault!r}") from fault
     parameters |= {key: value for key, value in asked.items() if value is not None}
-    character = shape.Character(gets=gets, **parameters)
+    character = shape.TraceProfile(gets=gets, **parameters)
     return write_trace(
         output, {"made": {"generated": parameters, "seed": seed}}, shape.generate(character, seed), lambda: {}
     )
@@ -495,7 +495,7 @@
     not, 2 if the trace can't be replayed.
     """
     from damsonstream.replay import play as playing
-    from damsonstream.replay.account import Unusable
+    from damsonstream.replay.account import UnusableCheckpoint
 
     if bool(gateways) == bool(fleet):
         raise click.UsageError("Give either gateways with --gateway, or --fleet.")
@@ -503,13 +503,13 @@
     source = Source([file], **reading)
     if source.native is None:
         raise click.UsageError("A replay needs the compact form, which `traces convert` writes.")
-    order = playing.Order(source.native, seed=reading["seed"], **how)
+    order = playing.ReplayOptions(source.native, seed=reading["seed"], **how)
     try:
         if fleet:
-            result = playing.with_fleet(order, fleet, Path(tempfile.mkdtemp(prefix="damsonstream-replay-")))
+            result = playing.run_on_fleet(order, fleet, Path(tempfile.mkdtemp(prefix="damsonstream-replay-")))
         else:
-            result = playing.against(order, addresses(gateways))
-    except (Unusable, RuntimeError, OSError, kdl.Fault) as fault:
+            result = playing.run_on_gateways(order, addresses(gateways))
+    except (UnusableCheckpoint, RuntimeError, OSError, kdl.Fault) as fault:
         click.echo(f"Error: {fault}", err=True)
         return 2
     text = json.dumps(result, indent=1) + "\n"
@@ -539,16 +539,16 @@
     file: Path, slow: str, slow_from: float, slow_until: float, slow_by: float, cache_bytes: str, **how: Any
 ) -> int:
     """Run a trace through the router only, without sockets, at full speed, for quick studies."""
-    from damsonstream.replay.alone import Alone, Setting
-    from damsonstream.replay.run import wishes
+    from damsonstream.replay.alone import RouterReplay, RouterReplaySetting
+    from damsonstream.replay.run import trace_gets
 
     source = Source([file], **how)
     try:
         size = kdl.size(cache_bytes, 1)
     except ValueError as fault:
         raise click.UsageError(f"--cache-bytes {cache_bytes} is not a size such as 64MiB.") from fault
-    router_run = Alone(
-        Setting(
+    router_run = RouterReplay(
+        RouterReplaySetting(
             cache_bytes=size,
             slow=slow,
             slow_from=slow_from,
@@ -557,5 +557,5 @@
             seed=how["seed"],
         )
     )
-    click.echo(json.dumps(router_run.run(wishes(source.batches(), "pages", "unlock")), indent=1))
+    click.echo(json.dumps(router_run.run(trace_gets(source.batches(), "pages", "unlock")), indent=1))
     return 0
--- a/damsonstream/replay/account.py
+++ b/damsonstream/replay/account.py
@@ -24,7 +24,7 @@
 FORMAT_VERSION = 1
 
 
-class Unusable(Exception):
+class UnusableCheckpoint(Exception):
     """The bytes are not a valid checkpoint, or belong to another trace."""
 
 
@@ -125,12 +125,12 @@
         try:
             head, _, body = data.partition(b"\n")
             if int(head, 16) != crc32(body):
-                raise Unusable("its checksum does not match")
+                raise UnusableCheckpoint("its checksum does not match")
             state: dict[str, Any] = json.loads(body)
             if state["form"] != FORMAT_VERSION:
-                raise Unusable(f"it has the unknown format version {state['form']}")
+                raise UnusableCheckpoint(f"it has the unknown format version {state['form']}")
             if trace and state["trace"] != trace:
-                raise Unusable("it belongs to another trace")
+                raise UnusableCheckpoint("it belongs to another trace")
             account = cls(state["trace"], state["low"])
             account.ended_ahead = set(state["beyond"])
             account.resume_count = state["resumed"] + 1
@@ -140,7 +140,7 @@
                                                  HdrHistogram.decode(one["from_intended"]),
                                                  HdrHistogram.decode(one["from_sent"]))  # fmt: skip
         except (KeyError, TypeError, ValueError, IndexError) as fault:
-            raise Unusable(f"it can't be decoded: {fault}") from fault
+            raise UnusableCheckpoint(f"it can't be decoded: {fault}") from fault
         return account
 
     def summary(self) -> dict[str, Any]:
--- a/damsonstream/replay/alone.py
+++ b/damsonstream/replay/alone.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Setting:
+class RouterReplaySetting:
     """Parameters of the model."""
 
     caches: int = 3
@@ -53,10 +53,10 @@
     by_second: dict[int, Counter[str]] = field(default_factory=dict)
 
 
-class Alone:
+class RouterReplay:
     """A discrete-event simulation of one gateway's router, its caches and their parents."""
 
-    def __init__(self, setting: Setting) -> None:
+    def __init__(self, setting: RouterReplaySetting) -> None:
         self.setting = setting
         services = tuple(
             i.DeliveryService(
--- a/damsonstream/replay/play.py
+++ b/damsonstream/replay/play.py
@@ -19,19 +19,19 @@
 from damsonstream.demo.scenario import Scenario, Step, load
 from damsonstream.replay.account import Account
 from damsonstream.replay.limits import ReplayRule
-from damsonstream.replay.run import Replay, TraceGet, load_account, wishes
+from damsonstream.replay.run import Replay, TraceGet, load_account, trace_gets
 from damsonstream.standins.traffic import Key
-from damsonstream.traces.native import Native
+from damsonstream.traces.native import NativeTrace
 from damsonstream.traces.shape import Scaling
 
 TAIL = 30.0  # seconds after the last GET, for GETs that are still open
 
 
 @dataclass(slots=True)
-class Order:
+class ReplayOptions:
     """Options of a replay. The command line sets the fields by name."""
 
-    trace: Native
+    trace: NativeTrace
     seed: int = 1
     speed: float = 1.0
     stop_after: float | None = None  # seconds
@@ -54,7 +54,7 @@
         scaling = Scaling(self.speed)
         first = max(self.skip, account.first_open)
         batches = (scaling.apply(gets) for gets in self.trace.batches(skip=first))
-        return wishes(batches, "pages", "unlock", first)
+        return trace_gets(batches, "pages", "unlock", first)
 
     def make_replay(self, addresses: dict[str, tuple[str, int]]) -> Replay:
         account = self.load_account()
@@ -62,7 +62,7 @@
         return Replay(self.remaining_gets(account), addresses, rule, self.seed, account, self.checkpoint)
 
 
-def summary(replay: Replay, options: Order) -> dict[str, Any]:
+def summary(replay: Replay, options: ReplayOptions) -> dict[str, Any]:
     """Returns the results of a replay as plain data, for JSON."""
     limits = replay.limits
     return {
@@ -75,7 +75,7 @@
     }
 
 
-async def handle_signals(replay: Replay, options: Order) -> None:
+async def handle_signals(replay: Replay, options: ReplayOptions) -> None:
     """Pauses, resumes or stops the replay on signals, and stops it after `stop_after` seconds."""
     with anyio.open_signal_receiver(signal.SIGUSR2, signal.SIGINT, signal.SIGTERM) as received:
         async with anyio.create_task_group() as group:
@@ -93,14 +93,14 @@
     replay.stop()
 
 
-async def run_to_end(replay: Replay, options: Order) -> None:
+async def run_to_end(replay: Replay, options: ReplayOptions) -> None:
     async with anyio.create_task_group() as group:
         group.start_soon(handle_signals, replay, options)
         await replay.run()
         group.cancel_scope.cancel()
 
 
-def against(options: Order, addresses: dict[str, tuple[str, int]]) -> dict[str, Any]:
+def run_on_gateways(options: ReplayOptions, addresses: dict[str, tuple[str, int]]) -> dict[str, Any]:
     """Replays against gateways that are already running."""
     replay = options.make_replay(addresses)
 
@@ -114,7 +114,7 @@
 class FleetReplay(DemoRun):
     """A run of the demo fleet in which the GETs come from a trace."""
 
-    def __init__(self, scenario: Scenario, folder: Path, records: Path, options: Order) -> None:
+    def __init__(self, scenario: Scenario, folder: Path, records: Path, options: ReplayOptions) -> None:
         super().__init__(scenario, folder, records, options.seed)
         self.replay_options = options
         self.replay = self.generator = options.make_replay(self.fleet.addresses)
@@ -129,7 +129,7 @@
         await run_to_end(self.replay, self.replay_options)
 
 
-def with_fleet(options: Order, gateways: int, folder: Path) -> dict[str, Any]:
+def run_on_fleet(options: ReplayOptions, gateways: int, folder: Path) -> dict[str, Any]:
     """Starts gateways between stand-ins and replays against them."""
     max_timeout = max(offer.viewer_timeout_ms for offer in PROFILES) / 1000
     if options.patience > max_timeout:
--- a/damsonstream/replay/run.py
+++ b/damsonstream/replay/run.py
@@ -18,7 +18,7 @@
 import anyio
 import numpy as np
 
-from damsonstream.replay.account import Account, Unusable
+from damsonstream.replay.account import Account, UnusableCheckpoint
 from damsonstream.replay.limits import Limits, ReplayRule
 from damsonstream.standins.clients import CONNECTIONS, MAX_STREAMS, LoadGenerator, GatewayConnection, PendingGet
 from damsonstream.standins.traffic import Arrival, Catalogue, ServiceProfile
@@ -43,7 +43,7 @@
     size: int
 
 
-def wishes(batches: Iterable[np.ndarray], read: str, write: str, first: int = 0) -> Iterator[TraceGet]:
+def trace_gets(batches: Iterable[np.ndarray], read: str, write: str, first: int = 0) -> Iterator[TraceGet]:
     """Yields the GETs of a trace. `read`, `write`: delivery services; `first`: index of the first GET."""
     index = first
     for gets in batches:
@@ -259,5 +259,5 @@
         return Account(trace)
     try:
         return Account.load(path.read_bytes(), trace)
-    except (Unusable, OSError) as fault:
-        raise Unusable(f"{path}: {fault}") from fault
+    except (UnusableCheckpoint, OSError) as fault:
+        raise UnusableCheckpoint(f"{path}: {fault}") from fault
--- a/damsonstream/traces/gets.py
+++ b/damsonstream/traces/gets.py
@@ -55,7 +55,7 @@
 DECIMAL_PATTERN = r"^[+-]?([0-9]{1,18}(\.[0-9]*)?|\.[0-9]+)([eE][+-]?[0-9]{1,2})?$"
 
 
-def name(code: int) -> str:
+def fate_name(code: int) -> str:
     """Returns the name of a fate: "used", or the rule or reason."""
     if code == USED:
         return "used"
--- a/damsonstream/traces/native.py
+++ b/damsonstream/traces/native.py
@@ -36,11 +36,11 @@
 )
 
 
-class Spoilt(Exception):
+class CorruptTrace(Exception):
     """The file is not a native trace, or its bytes have changed since it was written."""
 
 
-class Writing:
+class TraceWriter:
     """Writes a native trace, which appears at its path only when it is complete."""
 
     def __init__(self, path: Path, about: dict[str, Any]) -> None:
@@ -87,13 +87,13 @@
             os.fsync(stream.fileno())
         os.replace(self.temp_path, self.path)
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Abandons the file."""
         self.writer.close()
         self.temp_path.unlink(missing_ok=True)
 
 
-class Native:
+class NativeTrace:
     """Reads a native trace. Raises `CorruptTrace`."""
 
     def __init__(self, path: Path) -> None:
@@ -102,9 +102,9 @@
             metadata = self.file.metadata.metadata or {}
             self.about: dict[str, Any] = json.loads(metadata[METADATA_KEY])
         except (pa.ArrowException, OSError, KeyError, ValueError) as fault:
-            raise Spoilt(f"{path.name} is not a native trace, or is truncated: {fault}") from fault
+            raise CorruptTrace(f"{path.name} is not a native trace, or is truncated: {fault}") from fault
         if self.file.schema_arrow != SCHEMA or self.file.metadata.num_rows != self.about.get("rows"):
-            raise Spoilt(f"{path.name} has other columns or another number of rows than stated")
+            raise CorruptTrace(f"{path.name} has other columns or another number of rows than stated")
         self.rows = int(self.file.metadata.num_rows)
 
     def row_group_spans(self) -> list[tuple[int, int, int]]:
@@ -141,7 +141,7 @@
         try:
             table = self.file.read_row_group(index)
         except (pa.ArrowException, OSError) as fault:
-            raise Spoilt(f"row group {index} is corrupt: {fault}") from fault
+            raise CorruptTrace(f"row group {index} is corrupt: {fault}") from fault
         gets = np.zeros(table.num_rows, GET)
         for name in SCHEMA.names:
             gets[name] = table.column(name).to_numpy()
--- a/damsonstream/traces/order.py
+++ b/damsonstream/traces/order.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rule:
+class TimeRule:
     """How to handle times that are out of order."""
 
     window: int = WINDOW  # microseconds
@@ -53,7 +53,7 @@
 class ReorderBuffer:
     """Holds GETs until their position in time order is certain."""
 
-    def __init__(self, rule: Rule) -> None:
+    def __init__(self, rule: TimeRule) -> None:
         self.rule, self.stats = rule, TimeStats()
         self.latest: int | None = None  # latest time of all rows so far
         self.clock_offset = 0  # microseconds added to all times, after clock steps backward
--- a/damsonstream/traces/page.py
+++ b/damsonstream/traces/page.py
@@ -13,10 +13,10 @@
 
 from damsonstream.incident.words import plain
 from damsonstream.report.charts import LINES, figure, logarithmic, own_ids, svg
-from damsonstream.traces.stats import SIZE_BUCKETS_PER_DOUBLING, Stats
+from damsonstream.traces.stats import SIZE_BUCKETS_PER_DOUBLING, TraceStats
 
 
-def rates(stats: Stats) -> str:
+def rates(stats: TraceStats) -> str:
     """Draws GETs per second over time, as SVG."""
     drawing, axes = figure(2.4)
     points = stats.rate_series()
@@ -36,7 +36,7 @@
     return svg(drawing, "GETs per second")
 
 
-def popularity(stats: Stats, zipf: dict[str, float]) -> str:
+def popularity(stats: TraceStats, zipf: dict[str, float]) -> str:
     """Draws requests by rank of the object with the fitted Zipf law, as SVG."""
     drawing, axes = figure(2.8)
     points = stats.popularity()
@@ -82,7 +82,7 @@
     return svg(drawing, "Miss ratio by cache size")
 
 
-def sizes(stats: Stats) -> str:
+def sizes(stats: TraceStats) -> str:
     """Draws the histogram of object sizes, as SVG."""
     drawing, axes = figure(2.4)
     filled = [bucket for bucket, count in enumerate(stats.sizes.tolist()) if count]
@@ -105,7 +105,7 @@
     return svg(drawing, "Sizes")
 
 
-def page(summary: dict[str, Any], stats: Stats) -> str:
+def render_page(summary: dict[str, Any], stats: TraceStats) -> str:
     """Returns the HTML page."""
     stats_summary = summary["stats"]
     charts = {
--- a/damsonstream/traces/reader.py
+++ b/damsonstream/traces/reader.py
@@ -24,7 +24,7 @@
 from damsonstream.traces.format import Format
 from damsonstream.traces.gets import GET, MENDED_CODES, SKIPPED_CODES, Batch, GetBuilder, Options
 from damsonstream.traces.guard import LineSanitizer
-from damsonstream.traces.order import ReorderBuffer, Rule
+from damsonstream.traces.order import ReorderBuffer, TimeRule
 from damsonstream.traces.tally import Tally
 
 # Blocks that are parsed in parallel. More of them only wait for the interpreter lock, and take memory.
@@ -32,13 +32,13 @@
 
 
 @dataclass(slots=True)
-class Reading:
+class TraceReader:
     """One pass over the CSV files of a trace."""
 
     paths: list[Path]
     format: Format
     options: Options = field(default_factory=Options)
-    rule: Rule = field(default_factory=Rule)
+    rule: TimeRule = field(default_factory=TimeRule)
     shards: str = "auto"  # "follow" (one after the other), "merge" or "auto"
     block_size: int = source.BLOCK_SIZE
     tally: Tally = field(default_factory=Tally)
@@ -113,7 +113,7 @@
         if last := sanitizer.finish():
             yield last
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """Returns the part of `traces stats --json` that is about reading the files."""
         time_stats = [buffer.stats for buffer in self.buffers]
         return {
@@ -199,7 +199,7 @@
         )
 
 
-def time_range(reading: Reading, path: Path) -> tuple[int, int] | None:
+def time_range(reading: TraceReader, path: Path) -> tuple[int, int] | None:
     """Returns the time of the first usable row of a file and the largest time in its last block, or None if
     the file has no usable row."""
     builder = GetBuilder(reading.format, reading.options)
@@ -220,7 +220,7 @@
     return None if first is None else (first, last)
 
 
-def shards_overlap(reading: Reading) -> bool:
+def shards_overlap(reading: TraceReader) -> bool:
     """Returns whether shards must be merged: one begins before the end of the previous one."""
     if len(reading.paths) < 2:
         return False
--- a/damsonstream/traces/shape.py
+++ b/damsonstream/traces/shape.py
@@ -54,7 +54,7 @@
         return scaled
 
 
-class Renaming:
+class Anonymizer:
     """Replaces objects, clients and tenants by pseudonyms: BLAKE2b keyed with a salt, so that the keys of a
     published trace can't be recognized by hashing them without the salt."""
 
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Character:
+class TraceProfile:
     """Parameters of a synthetic trace."""
 
     gets: int = 100_000
@@ -106,7 +106,7 @@
     crowd_lasts: float = 10.0  # seconds
 
 
-def generate(profile: Character, seed: int, batch: int = 1 << 16) -> Iterator[np.ndarray]:
+def generate(profile: TraceProfile, seed: int, batch: int = 1 << 16) -> Iterator[np.ndarray]:
     """Yields GETs in time order: Poisson arrivals with a higher rate in bursts, objects by Zipf's law, and a
     flash crowd for one new object."""
     rng = np.random.Generator(np.random.PCG64(seed))
--- a/damsonstream/traces/stats.py
+++ b/damsonstream/traces/stats.py
@@ -78,7 +78,7 @@
     return {"alpha": round(float(-slope), 4), "error": round(error, 4), "r2": round(r_squared, 4)}
 
 
-class Stats:
+class TraceStats:
     """Accumulates the statistics of a trace."""
 
     def __init__(self, max_objects: int = MAX_OBJECTS) -> None:
@@ -170,7 +170,7 @@
                 )
         return result
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         counts, rate = self.object_counts.counts, self.object_counts.rate
         objects = len(counts) / rate
         total = counts.sum() / rate if len(counts) else 0
--- a/damsonstream/traces/tally.py
+++ b/damsonstream/traces/tally.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from damsonstream.traces.gets import USED, Batch, name
+from damsonstream.traces.gets import USED, Batch, fate_name
 
 MAX_EXAMPLES = 3  # kept for each fate except USED
 MAX_EXAMPLE_CHARS = 160  # of a line that are kept
@@ -62,7 +62,7 @@
     def counts_between(self, low: int, high: int) -> dict[str, int]:
         """Returns the counts of fates with a code from `low` up to, not including, `high`."""
         return {
-            name(fate): row_count
+            fate_name(fate): row_count
             for fate, row_count in sorted(self.fates.items())
             if low <= fate < high and row_count
         }
@@ -80,7 +80,7 @@
             "faults": self.faults,
             "examples": [
                 {
-                    "fate": name(fate),
+                    "fate": fate_name(fate),
                     "skipped": fate >= 128,
                     "file": e.file,
                     "line": e.line,
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -22,18 +22,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from damsonstream.replay.account import Account, Unusable
+from damsonstream.replay.account import Account, UnusableCheckpoint
 from damsonstream.replay.limits import Limits, ReplayRule
 from damsonstream.settings import kdl
 from damsonstream.traces import format as formats
 from damsonstream.traces import order, shape
 from damsonstream.traces.digest import Digest
-from damsonstream.traces.gets import GET, Batch, Options, name
+from damsonstream.traces.gets import GET, Batch, Options, fate_name
 from damsonstream.traces.guard import LineSanitizer
-from damsonstream.traces.native import Native, Spoilt, Writing
-from damsonstream.traces.reader import Reading
+from damsonstream.traces.native import NativeTrace, CorruptTrace, TraceWriter
+from damsonstream.traces.reader import TraceReader
 from damsonstream.traces.reuse import ExactReuse, ReuseEstimator
-from damsonstream.traces.stats import Stats
+from damsonstream.traces.stats import TraceStats
 from tests.helpers import TraceCase
 from tests.test_tools import run
 
@@ -41,8 +41,8 @@
 US_PER_S = 1_000_000
 
 
-def read_all(paths: list[Path], format_name: str, **options: Any) -> tuple[Reading, np.ndarray]:
-    reader = Reading(paths, formats.load(format_name), **options)
+def read_all(paths: list[Path], format_name: str, **options: Any) -> tuple[TraceReader, np.ndarray]:
+    reader = TraceReader(paths, formats.load(format_name), **options)
     parts = list(reader.batches())
     return reader, np.concatenate(parts) if parts else np.zeros(0, GET)
 
@@ -52,7 +52,7 @@
         lines = list[str]()
         for path in sorted(FIXTURES.iterdir()):
             reader, gets = read_all([path], path.stem)
-            summary = reader.told()
+            summary = reader.summary()
             lines.append(
                 f"{path.name}: rows {summary['rows']}, used {summary['used']}, "
                 f"GETs {len(gets)}, {summary['digest']}"
@@ -90,7 +90,7 @@
                 for paths, block in cases:
                     reader, gets = read_all(paths, format_name, block_size=block, shards="follow")
                     case = f"{path.name} in blocks of {block}, {[p.name for p in paths]}"
-                    self.assertEqual(reader.told()["digest"], expected_reader.told()["digest"], case)
+                    self.assertEqual(reader.summary()["digest"], expected_reader.summary()["digest"], case)
                     self.assertEqual(reader.tally.fates, expected_reader.tally.fates, case)
                     self.assertEqual(gets.tobytes(), expected_gets.tobytes(), case)
 
@@ -106,7 +106,7 @@
             reader, gets = read_all([folder / f"s{n}" for n in range(3)], "cache-requests", block_size=500)
             self.assertTrue(reader.merged)
             self.assertTrue((np.diff(gets["time"]) >= 0).all())
-            self.assertEqual(reader.told()["digest"], expected.told()["digest"])
+            self.assertEqual(reader.summary()["digest"], expected.summary()["digest"])
 
     def test_a_truncated_archive_is_reported_and_its_start_is_used(self) -> None:
         data = gzip.compress(b"".join(b"%d,k%d,1,9,3,get,0\n" % (n, n) for n in range(5000)))
@@ -130,7 +130,7 @@
                 stream.write(row * 500_000)
             reader, gets = read_all([path], "cache-requests")
         self.assertEqual(len(gets), 1_000_000)
-        self.assertEqual(reader.told()["skipped"], {"too-long": 1})
+        self.assertEqual(reader.summary()["skipped"], {"too-long": 1})
 
 
 class ArbitraryInput(unittest.TestCase):
@@ -159,7 +159,7 @@
             )
             data = path.read_bytes()
             reader, gets = read_all([path], "cache-requests", block_size=block)
-        summary = reader.told()
+        summary = reader.summary()
         plain = data.replace(b"\r\n", b"\n")
         expected = plain.count(b"\n") + (
             not plain.endswith(b"\n")
@@ -193,7 +193,7 @@
 
 class TimeOrder(TraceCase):
     def reorder(self, times: list[int], size: int = 1000, **rule: Any) -> tuple[list[int], list[str]]:
-        buffer = order.ReorderBuffer(order.Rule(**rule))
+        buffer = order.ReorderBuffer(order.TimeRule(**rule))
         out: list[int] = []
         fates: list[str] = []
         for at in range(0, len(times), size):
@@ -202,7 +202,7 @@
             gets["time"] = np.array(part) * US_PER_S
             batch = Batch(gets, np.zeros(len(part), np.uint8), np.arange(at, at + len(part)))
             out += (buffer.feed(batch)["time"] // US_PER_S).tolist()
-            fates += [name(int(fate)) for fate in batch.fates]
+            fates += [fate_name(int(fate)) for fate in batch.fates]
         return out + (buffer.finish()["time"] // US_PER_S).tolist(), fates
 
     def test_backward_repeated_and_late_times_jumps_and_clock_steps(self) -> None:
@@ -239,7 +239,7 @@
 
 class Transforms(TraceCase):
     def trace(self, **profile: Any) -> np.ndarray:
-        return np.concatenate(list(shape.generate(shape.Character(**{"gets": 30_000, **profile}), 5)))
+        return np.concatenate(list(shape.generate(shape.TraceProfile(**{"gets": 30_000, **profile}), 5)))
 
     def test_sampled_miss_ratios_are_near_the_exact_ones(self) -> None:
         for alpha in (0.7, 1.3):
@@ -258,18 +258,18 @@
         self.assertEqual([round(exact.miss_ratio(size) * 6) for size in (1, 2, 3)], [5, 5, 3])
 
     def test_statistics_match_the_parameters_of_a_synthetic_trace(self) -> None:
-        stats = Stats()
+        stats = TraceStats()
         gets = self.trace(rate=500.0, alpha=0.9, objects=3000, writes=0.1, gets=60_000)
         for at in range(0, len(gets), 7000):
             stats.add(gets[at : at + 7000])
-        summary = stats.told()
+        summary = stats.summary()
         self.assertAlmostEqual(summary["rate"]["mean"], 500, delta=15)
         self.assertAlmostEqual(summary["objects"]["zipf"]["alpha"], 0.9, delta=0.12)
         self.assertAlmostEqual(summary["writes"] / summary["gets"], 0.1, delta=0.01)
         self.assertAlmostEqual(summary["bursts"]["dispersion_1s"], 1.0, delta=0.3)
-        bursty = Stats()
+        bursty = TraceStats()
         bursty.add(self.trace(burst=4.0))
-        self.assertGreater(bursty.told()["bursts"]["dispersion_1s"], 5)
+        self.assertGreater(bursty.summary()["bursts"]["dispersion_1s"], 5)
 
     def test_thinning_scaling_and_anonymization(self) -> None:
         gets = self.trace()
@@ -284,7 +284,7 @@
         fast = shape.Scaling(10).apply(gets)
         self.assertEqual((fast["object"] == gets["object"]).all(), True)
         self.assertAlmostEqual(int(fast["time"][-1]) * 10 / int(gets["time"][-1]), 1.0, places=3)
-        one, same, other = (shape.Renaming(salt).apply(gets) for salt in (b"a", b"a", b"b"))
+        one, same, other = (shape.Anonymizer(salt).apply(gets) for salt in (b"a", b"a", b"b"))
         self.assertEqual(one.tobytes(), same.tobytes())
         self.assertFalse(np.isin(one["object"], other["object"]).any())
         self.assertFalse(np.isin(one["object"], gets["object"]).any())
@@ -295,12 +295,12 @@
         gets = self.trace(gets=200_000)
         with tempfile.TemporaryDirectory() as holder:
             path = Path(holder) / "t.gets"
-            writer = Writing(path, {"who": "test"})
+            writer = TraceWriter(path, {"who": "test"})
             for at in range(0, len(gets), 7777):
                 writer.add(gets[at : at + 7777])
             self.assertFalse(path.exists())  # it appears only when it is complete
             writer.close(digest="d")
-            native = Native(path)
+            native = NativeTrace(path)
             self.assertEqual(np.concatenate(list(native.batches())).tobytes(), gets.tobytes())
             self.assertEqual(
                 np.concatenate(list(native.batches(skip=70_001))).tobytes(), gets[70_001:].tobytes()
@@ -314,14 +314,14 @@
             for position in range(1000, len(data), len(data) // 12):
                 path.write_bytes(data[:position] + bytes([data[position] ^ 0x20]) + data[position + 1 :])
                 try:
-                    same = np.concatenate(list(Native(path).batches())).tobytes() == gets.tobytes()
+                    same = np.concatenate(list(NativeTrace(path).batches())).tobytes() == gets.tobytes()
                     undetected += not same
-                except Spoilt:
+                except CorruptTrace:
                     continue
             self.assertEqual(undetected, 0)  # read correctly or not at all
             path.write_bytes(data[:-500])
-            with self.assertRaises(Spoilt):
-                Native(path)
+            with self.assertRaises(CorruptTrace):
+                NativeTrace(path)
 
     def test_the_digest_depends_on_order_and_fields(self) -> None:
         gets = self.trace(gets=500)
@@ -461,7 +461,7 @@
         data[position] ^= flip
         try:
             Account.load(bytes(data), "t")
-        except Unusable:
+        except UnusableCheckpoint:
             return
         # accepted only if it is the same checksum in another notation, such as upper case
         self.assertEqual(int(bytes(data[:8]), 16), int(account.dump()[:8], 16))
@@ -503,7 +503,7 @@
     def progress(self) -> int:
         try:
             return Account.load((self.folder / "cp").read_bytes(), "").count
-        except (OSError, Unusable):
+        except (OSError, UnusableCheckpoint):
             return 0
 
     def test_replay_resumes_after_a_kill_and_reports_its_own_stall(self) -> None:
