--- a/damsonstream/console/app.py
+++ b/damsonstream/console/app.py
@@ -18,7 +18,7 @@
 from textual.widgets import DataTable, Footer, Input, Static
 
 from damsonstream.console import text
-from damsonstream.console.follow import Following
+from damsonstream.console.follow import RecordFollower
 from damsonstream.console.history import S, View
 from damsonstream.incident.words import plain
 
@@ -96,7 +96,7 @@
     ]
 
     def __init__(
-        self, following: Following, live: bool, background: Callable[[], Awaitable[None]] | None = None
+        self, following: RecordFollower, live: bool, background: Callable[[], Awaitable[None]] | None = None
     ) -> None:
         super().__init__()
         self.following, self.live, self.background = following, live, background
@@ -154,14 +154,14 @@
         """Updates the screen."""
         history = self.following.history
         start, _ = history.span()
-        ages = self.following.silent() if self.live and not (self.paused and self.at) else None
+        ages = self.following.seconds_since_growth() if self.live and not (self.paused and self.at) else None
         view = self.last_view = history.view(self.now(), ages)
         mode = "LIVE" if self.live and not self.paused else "PAUSED" if self.live else "RECORDED"
         title = self.query_one("#title", Static)
         title.update(text.title(view, start, mode))
-        title.set_class(view.worst == "stale", "stale")
+        title.set_class(view.state == "stale", "stale")
         self.fill("gateways", [text.gateway(row) for row in view.gateways])
-        nodes = sorted(view.nodes, key=lambda row: (row.worst == "Closed", row.bad == 0))
+        nodes = sorted(view.nodes, key=lambda row: (row.worst_breaker == "Closed", row.failed_share == 0))
         self.fill("nodes", [text.node(row) for row in nodes])
         self.fill("services", [text.service(row) for row in view.services])
         self.fill("peers", [text.peers(row) for row in view.peers])
@@ -245,7 +245,7 @@
             if found is not None:
                 lines += [
                     f"{found.role}, listed as {found.listed}, {text.number(found.rate)} forwards/s, "
-                    f"{text.share(found.bad)} of them fail",
+                    f"{text.share(found.failed_share)} of them fail",
                     "",
                 ]
                 lines += [f"  breaker at {plain(g)}: {found.states.get(g, 'Closed')}" for g in
--- a/damsonstream/console/follow.py
+++ b/damsonstream/console/follow.py
@@ -14,7 +14,7 @@
 from damsonstream.records import store
 
 
-class Following:
+class RecordFollower:
     """Follows the records of all gateways in one folder."""
 
     def __init__(self, folder: Path, clock: Callable[[], float] = time.monotonic) -> None:
@@ -44,7 +44,7 @@
             more |= follower.more_available
         return more
 
-    def silent(self) -> dict[str, float]:
+    def seconds_since_growth(self) -> dict[str, float]:
         """Returns the seconds since each gateway's records last grew."""
         now = self.clock()
         return {name: now - at for name, at in self.last_growth.items()}
--- a/damsonstream/console/history.py
+++ b/damsonstream/console/history.py
@@ -78,14 +78,14 @@
     """How the peer exchange of one gateway stands, as its latest record says."""
 
     name: str
-    standing: str
+    state: str
     silent: list[int]
-    near: float  # its share of the limits of its location
-    far: float  # its share of the limits of the fleet
+    location_share: float  # its share of the limits of its location
+    fleet_share: float  # its share of the limits of the fleet
     lent: float  # share lent to peers
     borrowed: float  # share borrowed from peers
     sent: int  # messages sent
-    heard: int  # messages received
+    received: int  # messages received
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,9 +95,9 @@
     name: str
     states: dict[str, list[str]]  # names of the gateways by the state that they see, the most common first
     flaps: int
-    into: float  # fills per second that spill into it, over all gateways
+    spill_in: float  # fills per second that spill into it, over all gateways
     limit: float  # limit of `into`, per second; 0: unknown
-    out: float  # fills per second that its own caches send to other zones
+    spill_out: float  # fills per second that its own caches send to other zones
 
 
 @dataclass(slots=True, frozen=True)
@@ -127,11 +127,11 @@
     listed: str  # active, leaving or left
     states: dict[str, str]  # state of its breaker, by gateway
     rate: float  # forwards per second
-    bad: float  # share of the ended ones that failed
-    fills: float  # successful forwards per second
+    failed_share: float  # share of the ended ones that failed
+    success_rate: float  # successful forwards per second
 
     @property
-    def worst(self) -> str:
+    def worst_breaker(self) -> str:
         """Returns the worst state of its breakers."""
         return next((s for s in ("Open", "Half-Open") if s in self.states.values()), "Closed")
 
@@ -161,7 +161,7 @@
     zones: list[ZoneRow] = field(default_factory=list)  # empty without a hierarchy of caches
 
     @property
-    def worst(self) -> str:
+    def state(self) -> str:
         """Returns the state of the fleet in a word: no records, stale, ended, trouble or well (healthy)."""
         if not self.gateways:
             return "no records"
@@ -169,7 +169,7 @@
             return "stale"
         if all(row.state == "ended" for row in self.gateways):
             return "ended"
-        if any(node.worst != "Closed" for node in self.nodes):
+        if any(node.worst_breaker != "Closed" for node in self.nodes):
             return "trouble"
         return "well"
 
--- a/damsonstream/console/text.py
+++ b/damsonstream/console/text.py
@@ -57,15 +57,15 @@
 def node(row: NodeRow) -> tuple[str, ...]:
     """Returns the cells of a node; the last one lists the gateways whose breaker is in the worst state."""
     at = ",".join(
-        plain(name, 8) for name, state in sorted(row.states.items()) if state == row.worst != "Closed"
+        plain(name, 8) for name, state in sorted(row.states.items()) if state == row.worst_breaker != "Closed"
     )
     return (
         plain(row.name, 14),
         row.role,
         row.listed,
-        row.worst,
+        row.worst_breaker,
         number(row.rate),
-        share(row.bad),
+        share(row.failed_share),
         at[:18],
     )
 
@@ -84,9 +84,9 @@
 
 def peers(row: PeersRow) -> tuple[str, ...]:
     """Returns the cells of the peer exchange; silent peers are given by their index in the peer list."""
-    parts = (f"{100 * part:.1f}%" for part in (row.near, row.far, row.lent, row.borrowed))
+    parts = (f"{100 * part:.1f}%" for part in (row.location_share, row.fleet_share, row.lent, row.borrowed))
     silent = ",".join(map(str, row.silent[:6])) + ("..." if len(row.silent) > 6 else "")
-    return (plain(row.name, 14), row.standing, *parts, str(row.sent), str(row.heard), silent)
+    return (plain(row.name, 14), row.state, *parts, str(row.sent), str(row.received), silent)
 
 
 def zone(row: ZoneRow) -> tuple[str, ...]:
@@ -101,9 +101,9 @@
         plain(row.name, 14),
         "; ".join(states),
         str(row.flaps),
-        number(row.into),
+        number(row.spill_in),
         limit,
-        number(row.out),
+        number(row.spill_out),
     )
 
 
@@ -143,7 +143,7 @@
     up = sum(row.state == "up" for row in view.gateways)
     rate = sum(row.rate for row in view.gateways if row.state == "up")
     return (
-        f"{clock(view.at)} UTC (+{max(0, view.at - start) / S:.0f} s)  {mode}  fleet {view.worst}  "
+        f"{clock(view.at)} UTC (+{max(0, view.at - start) / S:.0f} s)  {mode}  fleet {view.state}  "
         f"{up} of {len(view.gateways)} gateways up  {number(rate)} GET/s"
     )
 
@@ -152,7 +152,7 @@
     """Returns the whole view, with the latest `events` events."""
     output = [title(view, start, mode)[:columns], ""]
     output += [*table(GATEWAYS, [gateway(row) for row in view.gateways], columns), ""]
-    nodes = sorted(view.nodes, key=lambda row: (row.worst == "Closed", row.bad == 0))[:16]
+    nodes = sorted(view.nodes, key=lambda row: (row.worst_breaker == "Closed", row.failed_share == 0))[:16]
     output += [*table(NODES, [node(row) for row in nodes], columns), ""]
     if view.services:
         output += [*table(SERVICES, [service(row) for row in view.services], columns), ""]
--- a/damsonstream/demo/scenario.py
+++ b/damsonstream/demo/scenario.py
@@ -76,17 +76,17 @@
 
 def parse_scenario(name: str, document: kdl.Section) -> Scenario:
     about = document.text("about", name)
-    lasts = document.span("lasts", 12.0, MIN_DURATION)
+    lasts = document.duration("lasts", 12.0, MIN_DURATION)
     if lasts > MAX_DURATION:
-        raise document.fault(f"lasts longer than {MAX_DURATION:g} s", "lasts")
+        raise document.error(f"lasts longer than {MAX_DURATION:g} s", "lasts")
     rate = document.number("rate", 120, 1, 2000)
     gateways = int(document.number("gateways", 3, 1, 32))
     caches, hubs = int(document.number("caches", 3, 1, 64)), int(document.number("hubs", 2, 1, 16))
     clocks = []
-    for section in document.all("clock"):
+    for section in document.sections("clock"):
         gateway = section.text("gateway")
         if gateway not in [f"n{n + 1}" for n in range(gateways)]:
-            raise section.fault(
+            raise section.error(
                 f"{gateway or 'nothing'} is none of the gateways n1 to n{gateways}", "gateway"
             )
         skew = ClockSkew(
@@ -95,30 +95,30 @@
         clocks.append(skew)
         section.finish()
     nodes = [f"cache-1-{n + 1}" for n in range(caches)] + [f"hub-{n + 1}" for n in range(hubs)] + ["vault"]
-    steps = [parse_step(section, lasts, nodes, gateways) for section in document.all("step")]
+    steps = [parse_step(section, lasts, nodes, gateways) for section in document.sections("step")]
     document.finish()
     order = sorted(steps, key=lambda one: (one.at, one.does, one.to))
     return Scenario(name, about, lasts, rate, gateways, caches, hubs, tuple(order), tuple(clocks))
 
 
 def parse_step(section: kdl.Section, lasts: float, nodes: list[str], gateways: int) -> Step:
-    at, does = section.span("at", -1.0), section.text("does")
+    at, does = section.duration("at", -1.0), section.text("does")
     if at < 0:
-        raise section.fault("lacks the field at")
+        raise section.error("lacks the field at")
     if does not in (*KINDS, *CONTROL_KINDS):
-        raise section.fault(f"{does or 'nothing'} is none of {', '.join((*KINDS, *CONTROL_KINDS))}", "does")
+        raise section.error(f"{does or 'nothing'} is none of {', '.join((*KINDS, *CONTROL_KINDS))}", "does")
     to = section.text("to")
     valid_targets = [f"n{n + 1}" for n in range(gateways)] if does == "kill" else nodes
     if does in (*KINDS, "drain", "kill") and to not in valid_targets:
-        raise section.fault(f"{to or 'nothing'} is none of {', '.join(valid_targets)}", "to")
-    duration = section.span("lasts", 0.0)
+        raise section.error(f"{to or 'nothing'} is none of {', '.join(valid_targets)}", "to")
+    duration = section.duration("lasts", 0.0)
     if does not in ("purge", "reset") and not duration:
-        raise section.fault("lacks a duration", "lasts")
+        raise section.error("lacks a duration", "lasts")
     if at + duration > lasts:
-        raise section.fault(f"ends at {at + duration:g} s, after the end of the run at {lasts:g} s", "lasts")
+        raise section.error(f"ends at {at + duration:g} s, after the end of the run at {lasts:g} s", "lasts")
     amount = section.number("amount", 1.0, 0, 1e6)
     if does in ("fail", "shed", "hang", "purge") and amount > 1:
-        raise section.fault(f"{amount:g} is not a share from 0 to 1", "amount")
+        raise section.error(f"{amount:g} is not a share from 0 to 1", "amount")
     section.finish()
     return Step(at, does, to, duration, amount)
 
--- a/damsonstream/emulator/page.py
+++ b/damsonstream/emulator/page.py
@@ -61,13 +61,13 @@
     """Returns an SVG of a measure: means by size, or for a single size the mean and all seeds by policy."""
     from matplotlib.figure import Figure
 
-    from damsonstream.report.charts import LINES, svg
+    from damsonstream.report.charts import PALETTE, svg
 
     figure = Figure(figsize=(8, 3.2), layout="constrained")
     axes = figure.subplots()
     sizes = sorted({one.shops for one in result.outcomes})
     for number, (policy, points) in enumerate(means(result, index).items()):
-        colour = LINES[number % len(LINES)]
+        colour = PALETTE[number % len(PALETTE)]
         if len(sizes) > 1:
             axes.plot([x for x, _ in points], [y for _, y in points], marker="o", color=colour, label=policy)
             axes.set_xscale("log", base=2)
--- a/damsonstream/emulator/study.py
+++ b/damsonstream/emulator/study.py
@@ -97,66 +97,66 @@
     top = kdl.read(path)
     script_path = top.text("script")
     if not script_path:
-        raise top.fault("the field script is missing")
+        raise top.error("the field script is missing")
     loaded = script.load(str(Path(path).parent / script_path))
-    if lasts := top.span("lasts", 0.0):
+    if lasts := top.duration("lasts", 0.0):
         loaded = replace(loaded, lasts=min(lasts, loaded.lasts))
     first = int(top.number("first-seed", 1, 0, 1 << 30))
     seeds = tuple(range(first, first + int(top.number("seeds", 5, 1, MAX_SEEDS))))
     shops = read_shops(top, bool(loaded.zones))
-    policies = tuple(read_policy(section) for section in top.all("policy")) or (
+    policies = tuple(read_policy(section) for section in top.sections("policy")) or (
         Policy("all", (), DEFAULT_ROUTER),
     )
-    measures = tuple(read_measure(section, loaded) for section in top.all("measure"))
+    measures = tuple(read_measure(section, loaded) for section in top.sections("measure"))
     if not measures:
-        raise top.fault("at least one measure is required")
+        raise top.error("at least one measure is required")
     if len({one.name for one in policies}) < len(policies):
-        raise top.fault("two policies have the same name", "policy")
+        raise top.error("two policies have the same name", "policy")
     about = top.text("about", Path(path).stem)
     top.finish()
     experiment = Experiment(Path(path).stem, about, loaded, seeds, shops, policies, measures)
     if len(experiment.cells()) > MAX_CELLS:
-        raise top.fault(f"needs {len(experiment.cells())} runs, more than the maximum of {MAX_CELLS}")
+        raise top.error(f"needs {len(experiment.cells())} runs, more than the maximum of {MAX_CELLS}")
     return experiment
 
 
 def read_shops(top: kdl.Section, has_zones: bool) -> tuple[int, ...]:
-    sections = top.all("shops")
+    sections = top.sections("shops")
     if not sections:
         return (1,)
     shops = []
     for value in sections[0].args:
         if isinstance(value, bool) or not isinstance(value, int) or not 1 <= value <= MAX_SHOPS:
-            raise sections[0].fault(f"{value!r} is not an integer from 1 to {MAX_SHOPS}")
+            raise sections[0].error(f"{value!r} is not an integer from 1 to {MAX_SHOPS}")
         shops.append(value)
     if not shops or len(sections) > 1:
-        raise sections[0].fault("must be given once, with at least one number")
+        raise sections[0].error("must be given once, with at least one number")
     if has_zones and shops != [1]:
-        raise sections[0].fault("a script with zones defines its own gateways, so shops must be 1")
+        raise sections[0].error("a script with zones defines its own gateways, so shops must be 1")
     return tuple(dict.fromkeys(shops))
 
 
 def read_policy(section: kdl.Section) -> Policy:
     if len(section.args) != 1 or not isinstance(section.args[0], str) or not section.args[0]:
-        raise section.fault("must have the policy's name as its only argument")
+        raise section.error("must have the policy's name as its only argument")
     without, router = section.texts("without"), section.text("router", DEFAULT_ROUTER)
     for feature in without:
         if feature not in FEATURES:
-            raise section.fault(f"{feature} is not one of {', '.join(FEATURES)}", "without")
+            raise section.error(f"{feature} is not one of {', '.join(FEATURES)}", "without")
     if router not in ROUTERS:
-        raise section.fault(f"{router} is not one of {', '.join(ROUTERS)}", "router")
+        raise section.error(f"{router} is not one of {', '.join(ROUTERS)}", "router")
     section.finish()
     return Policy(section.args[0], tuple(sorted(without)), router)
 
 
 def read_measure(section: kdl.Section, loaded: script.Script) -> Measure:
     if len(section.args) != 1 or section.args[0] not in CHECKS:
-        raise section.fault(f"must be one of {', '.join(CHECKS)}")
+        raise section.error(f"must be one of {', '.join(CHECKS)}")
     name, of = str(section.args[0]), section.text("of")
-    start, end = section.span("from", 0.0), section.span("until", loaded.lasts)
+    start, end = section.duration("from", 0.0), section.duration("until", loaded.lasts)
     better = section.text("better", "more")
     if better not in ("more", "less"):
-        raise section.fault(f"{better} is not one of more, less", "better")
+        raise section.error(f"{better} is not one of more, less", "better")
     section.finish()
     title = f"{name} {of or 'all'} {start:g} to {end:g} s"
     return Measure(title, Check(name, of, start, end), better)
--- a/damsonstream/program/commands/console.py
+++ b/damsonstream/program/commands/console.py
@@ -25,9 +25,9 @@
     2 if there are no records.
     """
     from damsonstream.console import text
-    from damsonstream.console.follow import Following
+    from damsonstream.console.follow import RecordFollower
 
-    following = Following(records)
+    following = RecordFollower(records)
     if not once and sys.stdout.isatty():
         from damsonstream.console.app import Console
 
@@ -54,4 +54,4 @@
     view = history.view(at, ages)
     columns = int(os.environ.get("COLUMNS", "80"))
     click.echo("\n".join(text.lines(view, start, columns, "recorded" if recorded else f"{age_s:.0f} s old")))
-    return 0 if view.worst in ("well", "ended") else 1
+    return 0 if view.state in ("well", "ended") else 1
--- a/damsonstream/program/commands/demo.py
+++ b/damsonstream/program/commands/demo.py
@@ -66,7 +66,7 @@
     toollogs.begin("warning")
     try:
         scenario = scenarios.load(name)
-    except kdl.Fault as fault:
+    except kdl.KdlError as fault:
         click.echo(fault, err=True)
         return 2
     if seconds:
@@ -93,7 +93,7 @@
             execute, scenario, folder, records, seed, progress, backend_options={"use_uvloop": True}
         )
     from damsonstream.console.app import Console
-    from damsonstream.console.follow import Following
+    from damsonstream.console.follow import RecordFollower
 
     records.mkdir(parents=True, exist_ok=True)
     results: list[Truth] = []
@@ -101,7 +101,7 @@
     async def run_fleet() -> None:
         results.append(await execute(scenario, folder, records, seed, lambda _: None))
 
-    Console(Following(records), live=True, background=run_fleet).run()
+    Console(RecordFollower(records), live=True, background=run_fleet).run()
     if not results:
         raise KeyboardInterrupt  # the user quit the console before the scenario ended
     return results[0]
--- a/damsonstream/program/commands/experiment.py
+++ b/damsonstream/program/commands/experiment.py
@@ -23,7 +23,7 @@
 MIN_LOSS_SHARE = 0.005  # of all GETs; a smaller loss is not reported as a weakness
 
 
-def play(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
+def run_cell(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
     """Simulates one cell of an experiment; called in worker processes."""
     policy = experiment.policy(cell.policy)
     simulation = Emulation(experiment.script, parse_footprint, frozenset(policy.without), cell.seed, shops=cell.shops,
@@ -87,7 +87,7 @@
     toollogs.begin("warning")
     try:
         loaded = study.load(file)
-    except kdl.Fault as fault:
+    except kdl.KdlError as fault:
         click.echo(fault, err=True)
         return 2
     base = against or loaded.policies[0].name
@@ -103,7 +103,7 @@
             click.echo(f"  {done} of {total}", err=True)
 
     try:
-        outcomes = run_or_exit(lambda: runs.run(loaded, folder, workers, code, play, progress))
+        outcomes = run_or_exit(lambda: runs.run(loaded, folder, workers, code, run_cell, progress))
     except (UnsupportedScript, runs.WorkersDied) as fault:
         click.echo(fault, err=True)
         return 2
@@ -188,7 +188,7 @@
     try:
         loaded = script.load(file)
         simulation = Emulation(loaded, parse_footprint, frozenset(without), seed, shops=shops)
-    except (kdl.Fault, UnsupportedScript) as fault:
+    except (kdl.KdlError, UnsupportedScript) as fault:
         click.echo(fault, err=True)
         return 2
     observed = simulation.run()
@@ -215,7 +215,7 @@
     toollogs.begin("warning")
     try:
         base = replace(script.load(file), lasts=lasts, about="found by a hunt")
-    except kdl.Fault as fault:
+    except kdl.KdlError as fault:
         click.echo(fault, err=True)
         return 2
 
--- a/damsonstream/program/commands/playing.py
+++ b/damsonstream/program/commands/playing.py
@@ -39,7 +39,7 @@
     for path in sorted(folder.glob("*.kdl")):
         try:
             yield load(str(path))
-        except kdl.Fault as fault:
+        except kdl.KdlError as fault:
             click.echo(fault, err=True)
             raise click.exceptions.Exit(2) from fault
 
--- a/damsonstream/program/commands/tiers.py
+++ b/damsonstream/program/commands/tiers.py
@@ -26,7 +26,7 @@
     """Loads a hierarchy; raises UsageError if the file is invalid."""
     try:
         return load.load(str(path))
-    except kdl.Fault as fault:
+    except kdl.KdlError as fault:
         raise click.UsageError(str(fault)) from fault
 
 
--- a/damsonstream/program/commands/together.py
+++ b/damsonstream/program/commands/together.py
@@ -39,7 +39,7 @@
     toollogs.begin("warning")
     try:
         loaded = script.load(file)
-    except kdl.Fault as fault:
+    except kdl.KdlError as fault:
         click.echo(fault, err=True)
         return 2
     folder = folder or Path(tempfile.mkdtemp(prefix="damsonstream-together-"))
--- a/damsonstream/program/commands/traces.py
+++ b/damsonstream/program/commands/traces.py
@@ -102,8 +102,8 @@
             return
         try:
             loaded = formats.load(form)
-            width = int(kdl.span(window) * 1e6)
-        except kdl.Fault as fault:
+            width = int(kdl.parse_duration(window) * 1e6)
+        except kdl.KdlError as fault:
             raise click.UsageError(str(fault)) from fault
         except ValueError as fault:
             raise click.UsageError(f"--window {window} is not a duration such as 10s.") from fault
@@ -147,7 +147,7 @@
     for one in [name] if name else formats.shipped():
         try:
             loaded = formats.load(one)
-        except kdl.Fault as fault:
+        except kdl.KdlError as fault:
             click.echo(f"Error: {fault}", err=True)
             return 2
         click.echo(f"{loaded.name:16} {loaded.about}")
@@ -509,7 +509,7 @@
             result = playing.run_on_fleet(order, fleet, Path(tempfile.mkdtemp(prefix="damsonstream-replay-")))
         else:
             result = playing.run_on_gateways(order, addresses(gateways))
-    except (UnusableCheckpoint, RuntimeError, OSError, kdl.Fault) as fault:
+    except (UnusableCheckpoint, RuntimeError, OSError, kdl.KdlError) as fault:
         click.echo(f"Error: {fault}", err=True)
         return 2
     text = json.dumps(result, indent=1) + "\n"
@@ -544,7 +544,7 @@
 
     source = Source([file], **how)
     try:
-        size = kdl.size(cache_bytes, 1)
+        size = kdl.parse_size(cache_bytes, 1)
     except ValueError as fault:
         raise click.UsageError(f"--cache-bytes {cache_bytes} is not a size such as 64MiB.") from fault
     router_run = RouterReplay(
--- a/damsonstream/program/own.py
+++ b/damsonstream/program/own.py
@@ -66,7 +66,7 @@
 
             for problem in checks.check(load.load(str(settings.tiers))):
                 raise config.ConfigError(f"{settings.tiers}: {problem.kind}: {problem.what}")
-    except kdl.Fault as error:
+    except kdl.KdlError as error:
         raise config.ConfigError(str(error)) from error
 
 
--- a/damsonstream/program/serve.py
+++ b/damsonstream/program/serve.py
@@ -111,7 +111,7 @@
             return tiering.create_hierarchy_manager(
                 path, self.config, self.peer_exchange, clock, features, self.recorder
             )
-        except kdl.Fault as error:
+        except kdl.KdlError as error:
             raise ConfigError(str(error)) from error
 
     def on_bulletin_event(self, event: bulletin.Event, number: int) -> None:
--- a/damsonstream/program/tiering.py
+++ b/damsonstream/program/tiering.py
@@ -64,7 +64,7 @@
             if shape.revision == revision:  # SIGHUP was sent for another file
                 return "used", f"revision {revision} as before"
             problem = self.apply(shape)
-        except kdl.Fault as error:
+        except kdl.KdlError as error:
             problem = str(error)
         if problem:
             log.error("tiers", extra={"outcome": "refused", "revision": revision, "what": problem})
@@ -121,6 +121,6 @@
 ) -> HierarchyManager:  # fmt: skip
     manager = HierarchyManager(path, config, peer_exchange, clock, features, recorder)
     if problem := manager.apply(load.load(path)):
-        raise kdl.Fault(path, 0, "", problem)
+        raise kdl.KdlError(path, 0, "", problem)
     log.info("tiers", extra={"outcome": "on", "revision": manager.service.revisions.latest})
     return manager
--- a/damsonstream/report/charts.py
+++ b/damsonstream/report/charts.py
@@ -63,7 +63,7 @@
     ("errored", "#b33951"),
     ("left", "#8d99ae"),
 )
-LINES = ("#3c8d9e", "#7b5ea7", "#e9a03b", "#c8553d", "#4f9d69", "#3d4752")
+PALETTE = ("#3c8d9e", "#7b5ea7", "#e9a03b", "#c8553d", "#4f9d69", "#3d4752")
 MAX_ROWS = 24  # more rows of a timeline are not readable
 
 
@@ -73,7 +73,7 @@
     return drawing, drawing.subplots()
 
 
-def logarithmic(*axes: Any) -> None:
+def plain_tick_labels(*axes: Any) -> None:
     """Formats the tick labels as plain text, because the parsing of formulas is switched off.
 
     It is off because names may contain characters that matplotlib would read as a formula.
@@ -201,15 +201,15 @@
     """Draws the median and the 95th percentile of the latency of returned GETs, by delivery service."""
     watch, at = incident.detector, since(incident)
     drawing, axes = figure(2.7)
-    for index, name in enumerate(list(watch.services)[: len(LINES)]):
+    for index, name in enumerate(list(watch.services)[: len(PALETTE)]):
         for share, style in ((0.5, "-"), (0.95, ":")):
             points = list(watch.latencies.series(name, share))
             if points:
-                axes.plot([at(t) for t, _ in points], [v for _, v in points], style, color=LINES[index],
+                axes.plot([at(t) for t, _ in points], [v for _, v in points], style, color=PALETTE[index],
                           linewidth=1.6 if style == "-" else 1.3,
                           label=f"{plain(name, 24)} {'median' if style == '-' else 'p95'}")  # fmt: skip
     axes.set_yscale("log")
-    logarithmic(axes.yaxis)
+    plain_tick_labels(axes.yaxis)
     axes.set_ylabel("milliseconds")
     axis(incident, axes)
     shade(incident, axes)
@@ -222,19 +222,19 @@
     """Draws the median time to first byte of fills, by source."""
     watch, at = incident.detector, since(incident)
     drawing, axes = figure(2.5)
-    for index, node in enumerate(sorted(watch.source_latencies.histograms)[: len(LINES)]):
+    for index, node in enumerate(sorted(watch.source_latencies.histograms)[: len(PALETTE)]):
         points = list(watch.source_latencies.series(node, 0.5))
         axes.plot(
             [at(t) for t, _ in points],
             [v for _, v in points],
-            color=LINES[index],
+            color=PALETTE[index],
             linewidth=1.4,
             marker=".",
             markersize=3,
             label=f"{watch.roles.get(node, '')} {plain(node, 24)}",
         )
     axes.set_yscale("log")
-    logarithmic(axes.yaxis)
+    plain_tick_labels(axes.yaxis)
     axes.set_ylabel("time to first byte, ms")
     axis(incident, axes)
     if axes.lines:
@@ -278,10 +278,10 @@
         drawn["sources"] = sources(incident)
     if incident.detector.breaker_changes:
         drawn["breakers"] = breakers(incident)
-    return {name: own_ids(text, name) for name, text in drawn.items()}
+    return {name: prefix_ids(text, name) for name, text in drawn.items()}
 
 
-def own_ids(text: str, name: str) -> str:
+def prefix_ids(text: str, name: str) -> str:
     """Prefixes the ids of a chart with its name, because ids must be unique within the page."""
     for before, after in (
         ('id="', f'id="{name}-'),
--- a/damsonstream/settings/kdl.py
+++ b/damsonstream/settings/kdl.py
@@ -27,7 +27,7 @@
 MAX_FILE_BYTES = 1 << 20  # operators' files take a few KB
 
 
-class Fault(Exception):
+class KdlError(Exception):
     """An invalid settings file; the message names the file, the line, the field and the problem."""
 
     def __init__(self, file: str, line: int, field: str, message: str) -> None:
@@ -132,16 +132,16 @@
         self.args = args or []
         self.used: set[int] = set()  # indexes of the nodes that were read
 
-    def fault(self, message: str, name: str = "", line: int = 0) -> Fault:
+    def error(self, message: str, name: str = "", line: int = 0) -> KdlError:
         """Returns an error about this section or its field `name`, to be raised by the caller."""
         path = ".".join(part for part in (self.path, name) if part)
-        return Fault(self.file, line or self.line, path, message)
+        return KdlError(self.file, line or self.line, path, message)
 
     def line_of(self, index: int) -> int:
         found = self.positions[index]
         return found.line if found else self.line
 
-    def all(self, name: str) -> list[Section]:
+    def sections(self, name: str) -> list[Section]:
         """Returns every child node of that name."""
         sections = []
         for index, node in enumerate(self.nodes):
@@ -150,16 +150,16 @@
                 found = self.positions[index]
                 path = ".".join(part for part in (self.path, name) if part)
                 if node.properties:
-                    raise self.fault("properties (name=value) are not used", name, self.line_of(index))
+                    raise self.error("properties (name=value) are not used", name, self.line_of(index))
                 sections.append(Section(self.file, path, self.line_of(index), list(node.children),
                                         found.children if found else [], list(node.args)))  # fmt: skip
         return sections
 
     def section(self, name: str) -> Section | None:
         """Returns the only child node of that name, or None if there is none."""
-        found = self.all(name)
+        found = self.sections(name)
         if len(found) > 1:
-            raise self.fault("given twice", name, found[1].line)
+            raise self.error("given twice", name, found[1].line)
         return found[0] if found else None
 
     def value(self, name: str, default: Value, convert: Callable[[object], Value], expected: str) -> Value:
@@ -171,12 +171,12 @@
         if section is None:
             return default
         if len(section.args) != 1 or section.nodes:
-            raise self.fault(f"takes one value, {expected}", name, section.line)
+            raise self.error(f"takes one value, {expected}", name, section.line)
         try:
             return convert(section.args[0])
         except (TypeError, ValueError, KeyError, OverflowError) as fault:
             message = f"{section.args[0]!r} is not {expected}"
-            raise self.fault(message, name, section.line) from fault
+            raise self.error(message, name, section.line) from fault
 
     def text(self, name: str, default: str = "") -> str:
         def convert(value: object) -> str:
@@ -192,7 +192,7 @@
         if found is None:
             return ()
         if not found.args or not all(isinstance(value, str) for value in found.args):
-            raise self.fault(f"takes one {what} or more", name, found.line)
+            raise self.error(f"takes one {what} or more", name, found.line)
         return tuple(str(value) for value in found.args)
 
     def number(self, name: str, default: float, minimum: float = 0.0, maximum: float = 1e12) -> float:
@@ -217,13 +217,13 @@
 
     def size(self, name: str, default: int, minimum: int = 0) -> int:
         """Returns a size in bytes."""
-        return self.value(name, default, lambda value: size(value, minimum),
+        return self.value(name, default, lambda value: parse_size(value, minimum),
                           'a size such as "64MiB"'
                           + (f", at least {minimum} bytes" if minimum else ""))  # fmt: skip
 
-    def span(self, name: str, default: float, minimum: float = 0.0) -> float:
+    def duration(self, name: str, default: float, minimum: float = 0.0) -> float:
         """Returns a duration in seconds."""
-        return self.value(name, default, lambda value: span(value, minimum),
+        return self.value(name, default, lambda value: parse_duration(value, minimum),
                           'a duration such as "90s", "7d"'
                           + (f", at least {minimum:g} s" if minimum else ""))  # fmt: skip
 
@@ -231,10 +231,10 @@
         """Raises an error for the first field that was not read: it is unknown."""
         for index, node in enumerate(self.nodes):
             if index not in self.used:
-                raise self.fault("is not a field", node.name, self.line_of(index))
+                raise self.error("is not a field", node.name, self.line_of(index))
 
 
-def size(value: object, minimum: int = 0) -> int:
+def parse_size(value: object, minimum: int = 0) -> int:
     """Returns the bytes of a size such as "64MiB"; raises ValueError if it is malformed or too small."""
     found = SIZE.fullmatch(str(value)) if not isinstance(value, bool) else None
     if not found or (parsed := int(found[1]) * UNIT_BYTES[found[2]]) < minimum:
@@ -242,7 +242,7 @@
     return parsed
 
 
-def span(value: object, minimum: float = 0.0) -> float:
+def parse_duration(value: object, minimum: float = 0.0) -> float:
     """Returns the seconds of a duration such as "90s"; raises ValueError if it is malformed or too small."""
     found = DURATION.fullmatch(str(value))
     if not found or (parsed := float(found[1]) * UNIT_SECONDS[found[2]]) < minimum:
@@ -255,7 +255,7 @@
     try:
         document = ckdl.parse(text, version=2)
     except ckdl.ParseError as fault:
-        raise Fault(file, first_invalid_line(text), "", f"is not valid KDL: {fault}") from fault
+        raise KdlError(file, first_invalid_line(text), "", f"is not valid KDL: {fault}") from fault
     return Section(file, "", 1, list(document.nodes), node_lines(text))
 
 
@@ -265,14 +265,14 @@
         with Path(path).open("rb") as stream:
             data = stream.read(MAX_FILE_BYTES + 1)
     except OSError as fault:
-        raise Fault(path, 0, "", f"can't be read: {fault.strerror}") from fault
+        raise KdlError(path, 0, "", f"can't be read: {fault.strerror}") from fault
     if len(data) > MAX_FILE_BYTES:
-        raise Fault(path, 0, "", f"is larger than {MAX_FILE_BYTES} bytes")
+        raise KdlError(path, 0, "", f"is larger than {MAX_FILE_BYTES} bytes")
     try:
         return parse(data.decode(), path)
     except UnicodeDecodeError as fault:
         line = data[: fault.start].count(b"\n") + 1
-        raise Fault(path, line, "", "is not UTF-8") from fault
+        raise KdlError(path, line, "", "is not UTF-8") from fault
 
 
 def shipped(package: str, folder: str) -> list[str]:
@@ -288,5 +288,5 @@
         return name, parse(text, f"{name}.kdl")
     path = Path(name)
     if not path.suffix and not path.exists():
-        raise Fault(name, 0, "", f"not found; shipped {folder}: {', '.join(names)}")
+        raise KdlError(name, 0, "", f"not found; shipped {folder}: {', '.join(names)}")
     return path.stem, read(name)
--- a/damsonstream/settings/operator.py
+++ b/damsonstream/settings/operator.py
@@ -43,11 +43,11 @@
     """Reads the section `records`."""
     folder = section.text("folder")
     if not folder:
-        raise section.fault("is missing", "folder")
+        raise section.error("is missing", "folder")
     default = Limits()
     limits = Limits(
         section.size("bytes", default.bytes, MIN_STORE_BYTES),
-        section.span("age", default.age, MIN_AGE_SECONDS),
+        section.duration("age", default.age, MIN_AGE_SECONDS),
     )
     shift, drift = 0.0, 0.0
     if clock := section.section("trial-clock"):
--- a/damsonstream/tiers/draw.py
+++ b/damsonstream/tiers/draw.py
@@ -50,7 +50,7 @@
     """Draws the topology; solid arrows point to preferred sources, dashed ones to the others."""
     from matplotlib.figure import Figure
 
-    from damsonstream.report.charts import LINES
+    from damsonstream.report.charts import PALETTE
     from damsonstream.report.charts import svg as render_svg
 
     zones = sorted({node.zone for node in topology.nodes.values()})
@@ -101,7 +101,7 @@
             color="white",
             bbox={
                 "boxstyle": "round,pad=0.4",
-                "fc": LINES[zones.index(node.zone) % len(LINES)],
+                "fc": PALETTE[zones.index(node.zone) % len(PALETTE)],
                 "ec": "none",
             },
         )
@@ -114,7 +114,7 @@
     """Draws each zone's own fills and where those of the lost zones go."""
     from matplotlib.figure import Figure
 
-    from damsonstream.report.charts import LINES
+    from damsonstream.report.charts import PALETTE
     from damsonstream.report.charts import svg as render_svg
 
     zones = sorted(forecast.asked)
@@ -125,7 +125,7 @@
     bottom = dict(zip(zones, own_fills, strict=True))
     for number, home in enumerate(sorted({home for home, _ in forecast.spilt})):
         into = [forecast.spilt.get((home, zone), 0.0) for zone in zones]
-        axes.bar(zones, into, bottom=[bottom[zone] for zone in zones], color=LINES[number % len(LINES)],
+        axes.bar(zones, into, bottom=[bottom[zone] for zone in zones], color=PALETTE[number % len(PALETTE)],
                  label=f"from {plain(home, 18)}")  # fmt: skip
         for zone, fills in zip(zones, into, strict=True):
             bottom[zone] += fills
--- a/damsonstream/tiers/load.py
+++ b/damsonstream/tiers/load.py
@@ -14,7 +14,7 @@
 def name_argument(section: kdl.Section, what: str) -> str:
     """Returns the only argument of a section: the name of a zone or node."""
     if len(section.args) != 1 or not isinstance(section.args[0], str) or not section.args[0]:
-        raise section.fault(f"needs the {what}'s name as its only argument")
+        raise section.error(f"needs the {what}'s name as its only argument")
     return section.args[0]
 
 
@@ -25,29 +25,29 @@
 def parse(top: kdl.Section) -> Topology:
     revision = int(top.number("revision", 0, 0, 1 << 53))
     if not revision:
-        raise top.fault(
+        raise top.error(
             "is missing or 0; each revision needs a higher number than the one before", "revision"
         )
     cap = top.number("vault-cap", 0.0, 0, 1e9)
     deepest = int(top.number("deepest", 4, 2, 16))
     zones: dict[str, Zone] = {}
-    for section in top.all("zone"):
+    for section in top.sections("zone"):
         name = name_argument(section, "zone")
         if name in zones:
-            raise section.fault(f"{name} is defined twice")
+            raise section.error(f"{name} is defined twice")
         zones[name] = Zone(name, section.texts("prefers", "name"), section.number("takes", 0.5, 0, 1),
                            section.number("gives", 1.0, 0, 1), section.text("region"),
-                           section.span("ramp", DEFAULT_RAMP_S, 1.0))  # fmt: skip
+                           section.duration("ramp", DEFAULT_RAMP_S, 1.0))  # fmt: skip
         section.finish()
     nodes: dict[str, Node] = {}
     for role in ROLES:
-        for section in top.all(role):
+        for section in top.sections(role):
             name = name_argument(section, role)
             if name in nodes:
-                raise section.fault(f"{name} is defined twice")
+                raise section.error(f"{name} is defined twice")
             zone = section.text("zone")
             if not zone:
-                raise section.fault("is missing", "zone")
+                raise section.error("is missing", "zone")
             nodes[name] = Node(
                 name, role, zone, section.number("capacity", 0.0, 0, 1e9), section.texts("sources", "name")
             )
@@ -61,7 +61,7 @@
     numbers: dict[str, int] = {}
     top = kdl.read(path)
     for kind in ("zone", *ROLES):
-        for section in top.all(kind):
+        for section in top.sections(kind):
             if section.args and isinstance(section.args[0], str):
                 numbers.setdefault(section.args[0], section.line)
     return numbers
--- a/damsonstream/together/script.py
+++ b/damsonstream/together/script.py
@@ -96,36 +96,36 @@
 
 def load(path: str) -> Script:
     document = kdl.read(path)
-    lasts = document.span("lasts", 12.0, MIN_DURATION)
+    lasts = document.duration("lasts", 12.0, MIN_DURATION)
     if lasts > MAX_DURATION:
-        raise document.fault(f"lasts longer than {MAX_DURATION:g} s", "lasts")
+        raise document.error(f"lasts longer than {MAX_DURATION:g} s", "lasts")
     feature = document.text("piece")
     if feature and feature not in FEATURES:
-        raise document.fault(f"{feature} is none of {', '.join(FEATURES)}", "piece")
+        raise document.error(f"{feature} is none of {', '.join(FEATURES)}", "piece")
     gateways = tuple(f"n{n + 1}" for n in range(int(document.number("gateways", 6, 1, 32))))
     caches, hubs = int(document.number("caches", 4, 1, 64)), int(document.number("hubs", 2, 1, 16))
     nodes = [f"cache-1-{n + 1}" for n in range(caches)] + [f"hub-{n + 1}" for n in range(hubs)] + ["vault"]
-    zones = tuple(parse_zone(section, gateways, hubs) for section in document.all("zone"))
+    zones = tuple(parse_zone(section, gateways, hubs) for section in document.sections("zone"))
     if zones:
         nodes = [f"cache-{s + 1}-{n + 1}" for s, one in enumerate(zones) for n in range(one.caches)]
         nodes += [f"hub-{n + 1}" for n in range(hubs)] + ["vault"]
         if sorted(n for one in zones for n in one.gateways) != sorted(gateways):
-            raise document.fault(f"the zones must name each of {', '.join(gateways)} once", "zone")
+            raise document.error(f"the zones must name each of {', '.join(gateways)} once", "zone")
     weights = dict.fromkeys(gateways, 1.0)
-    for section in document.all("weight"):
+    for section in document.sections("weight"):
         for name in parse_names(section, "gateway", list(gateways)):
             weights[name] = section.number("is", 1.0, 0, 1e4)
         section.finish()
     faults: list[Fault] = []
     link_faults: list[links.LinkFault] = []
     steps: list[Step] = []
-    for section in document.all("fault"):
-        does, at = section.text("does"), section.span("at", -1.0)
+    for section in document.sections("fault"):
+        does, at = section.text("does"), section.duration("at", -1.0)
         if at < 0:
-            raise section.fault("lacks the field at")
-        duration = section.span("lasts", 0.0)
+            raise section.error("lacks the field at")
+        duration = section.duration("lasts", 0.0)
         if at + duration > lasts:
-            raise section.fault(
+            raise section.error(
                 f"ends at {at + duration:g} s, after the end of the run at {lasts:g} s", "lasts"
             )
         if does in links.KINDS:
@@ -139,18 +139,18 @@
             steps.append(Step(at, does, to, duration, section.number("amount", 1.0, 0, 1e6)))
         else:
             kinds = ", ".join((*links.KINDS, *NODE_KINDS, *PROCESS_KINDS, *CONTROL_KINDS))
-            raise section.fault(f"{does or 'nothing'} is none of {kinds}", "does")
+            raise section.error(f"{does or 'nothing'} is none of {kinds}", "does")
         section.finish()
     found = Script(
         Path(path).stem, document.text("about", Path(path).stem), feature, lasts,
         document.number("rate", 60, 1, 2000), gateways, weights, caches, hubs,
-        document.span("warm", 4.0),
+        document.duration("warm", 4.0),
         (document.number("starts-at", 0.3, 0, 1), document.number("falls-at", 4.0, 1, 100)),
         int(document.number("lanes", 24, 1, 1000)), document.size("memory", 6 << 20, 1 << 16), zones,
         document.number("vault-cap", 0, 0, 1e6), tuple(faults), tuple(link_faults),
         tuple(sorted(steps, key=lambda step: (step.at, step.does, step.to))),
         tuple(parse_check(section, lasts, [*nodes, *(one.name for one in zones)], gateways)
-              for section in document.all("check")),
+              for section in document.sections("check")),
     )  # fmt: skip
     document.finish()
     return found
@@ -158,14 +158,14 @@
 
 def parse_zone(section: kdl.Section, gateways: tuple[str, ...], hubs: int) -> Zone:
     if len(section.args) != 1 or not isinstance(section.args[0], str) or not section.args[0]:
-        raise section.fault("takes the zone's name")
+        raise section.error("takes the zone's name")
     parent_names = [f"hub-{n + 1}" for n in range(hubs)]
     found = Zone(
         section.args[0], section.text("region"), parse_names(section, "gateways", list(gateways)),
         int(section.number("caches", 2, 1, 16)), parse_names(section, "hubs", parent_names),
         tuple(name for text in section.texts("prefers") for name in text.split()),
         section.number("takes", 0.5, 0, 1), section.number("bears", 60, 0, 1e6),
-        section.span("ramp", 8.0, 1.0),
+        section.duration("ramp", 8.0, 1.0),
     )  # fmt: skip
     section.finish()
     return found
@@ -178,9 +178,9 @@
         return tuple(known)
     for name in names:
         if name not in known:
-            raise section.fault(f"{name} is none of {', '.join(known)}", field)
+            raise section.error(f"{name} is none of {', '.join(known)}", field)
     if not names:
-        raise section.fault(f"lacks the field {field}", field)
+        raise section.error(f"lacks the field {field}", field)
     return names
 
 
@@ -189,31 +189,31 @@
 ) -> links.LinkFault:
     amount = section.number("amount", 1.0, 0, 1e6)
     if does in links.SHARE_KINDS and amount > 1:
-        raise section.fault(f"{amount:g} is not a share from 0 to 1", "amount")
+        raise section.error(f"{amount:g} is not a share from 0 to 1", "amount")
     if does in ("cut", "split", "break"):
         groups = [frozenset(one.split()) for one in section.texts("groups")]
         if not groups or (does == "split" and len(groups) < 2):
-            raise section.fault("names too few groups to separate", "groups")
+            raise section.error("names too few groups to separate", "groups")
     else:
         endpoints = [section.texts("from"), section.texts("to")]
         groups = [frozenset(name for text in texts for name in text.split()) for texts in endpoints]
         if does == "one-way" and not any(groups):
-            raise section.fault("names neither from nor to", "from")
+            raise section.error("names neither from nor to", "from")
     for name in frozenset().union(*groups):
         if name not in node_names:
-            raise section.fault(f"{name} is none of {', '.join(node_names)}", "groups")
+            raise section.error(f"{name} is none of {', '.join(node_names)}", "groups")
     return links.LinkFault(does, at, duration, tuple(groups), amount)
 
 
 def parse_check(section: kdl.Section, lasts: float, nodes: list[str], gateways: tuple[str, ...]) -> Check:
     name, of = section.text("name"), section.text("of")
     if name not in CHECKS:
-        raise section.fault(f"{name or 'nothing'} is none of {', '.join(CHECKS)}", "name")
-    start, end = section.span("from", 0.0), section.span("until", lasts)
+        raise section.error(f"{name or 'nothing'} is none of {', '.join(CHECKS)}", "name")
+    start, end = section.duration("from", 0.0), section.duration("until", lasts)
     if of and of not in (*nodes, *gateways):
-        raise section.fault(f"{of} is none of {', '.join((*nodes, *gateways))}", "of")
+        raise section.error(f"{of} is none of {', '.join((*nodes, *gateways))}", "of")
     minimum, maximum = section.number("least", -1.0, -1, 1e9), section.number("most", -1.0, -1, 1e9)
     if minimum < 0 and maximum < 0:
-        raise section.fault("needs least, most or both")
+        raise section.error("needs least, most or both")
     section.finish()
     return Check(name, of, start, end, minimum if minimum >= 0 else None, maximum if maximum >= 0 else None)
--- a/damsonstream/traces/format.py
+++ b/damsonstream/traces/format.py
@@ -96,34 +96,34 @@
     about, source = top.text("about", name), top.text("source", "")
     csv = top.section("csv")
     if csv is None:
-        raise top.fault("is missing", "csv")
+        raise top.error("is missing", "csv")
     delimiter = csv.text("delimiter", ",")
     if len(delimiter) != 1 or not delimiter.isascii() or delimiter in '"\r\n\0':
-        raise csv.fault(f"{delimiter!r} is not a single character that can separate fields", "delimiter")
+        raise csv.error(f"{delimiter!r} is not a single character that can separate fields", "delimiter")
     header, columns = csv.flag("header", False), csv.texts("columns")
     if not 2 <= len(columns) <= MAX_COLUMNS or len(set(columns)) != len(columns):
-        raise csv.fault(f"must name 2 to {MAX_COLUMNS} columns, each once", "columns")
+        raise csv.error(f"must name 2 to {MAX_COLUMNS} columns, each once", "columns")
     csv.finish()
 
     def column(section: kdl.Section, field: str, needed: bool = True) -> str:
         name = section.text(field)
         if (needed or name) and name not in columns:
-            raise section.fault(f"{name or 'nothing'} is not one of the columns", field)
+            raise section.error(f"{name or 'nothing'} is not one of the columns", field)
         return name
 
     section = top.section("time")
     if section is None:
-        raise top.fault("is missing", "time")
+        raise top.error("is missing", "time")
     unit = section.text("unit", "s")
     if unit not in UNITS:
-        raise section.fault(f"{unit} is not one of {', '.join(UNITS)}", "unit")
+        raise section.error(f"{unit} is not one of {', '.join(UNITS)}", "unit")
     time = Time(
         column(section, "column"), UNITS[unit], column(section, "minus", False), section.texts("absent")
     )
     section.finish()
     key = top.texts("key")
     if not key or any(one not in columns for one in key):
-        raise top.fault("must name one or more columns", "key")
+        raise top.error("must name one or more columns", "key")
     size = Size()
     if (section := top.section("size")) is not None:
         size = Size(
@@ -134,11 +134,11 @@
     if (section := top.section("operation")) is not None:
         unknown = section.text("unknown", "skip")
         if unknown not in ("skip", "read"):
-            raise section.fault("must be skip or read", "unknown")
+            raise section.error("must be skip or read", "unknown")
         read, write, drop = (section.texts(kind) for kind in ("read", "write", "drop"))
         words = [*read, *write, *drop]
         if len(set(words)) != len(words):
-            raise section.fault("a word appears twice among read, write and drop")
+            raise section.error("a word appears twice among read, write and drop")
         operation = Operation(column(section, "column"), read, write, drop, unknown)
         section.finish()
     client, tenant = column(top, "client", False), column(top, "tenant", False)
--- a/damsonstream/traces/page.py
+++ b/damsonstream/traces/page.py
@@ -12,7 +12,7 @@
 from markupsafe import Markup
 
 from damsonstream.incident.words import plain
-from damsonstream.report.charts import LINES, figure, logarithmic, own_ids, svg
+from damsonstream.report.charts import PALETTE, figure, plain_tick_labels, prefix_ids, svg
 from damsonstream.traces.stats import SIZE_BUCKETS_PER_DOUBLING, TraceStats
 
 
@@ -26,7 +26,7 @@
     axes.fill_between(
         [t for t, _ in points],
         [n / stats.bucket_seconds for _, n in points],
-        color=LINES[0],
+        color=PALETTE[0],
         step="mid",
         alpha=0.85,
     )
@@ -43,17 +43,17 @@
     axes.loglog(
         [rank for rank, _ in points],
         [count for _, count in points],
-        color=LINES[0],
+        color=PALETTE[0],
         linewidth=1.8,
         label="counted",
     )
     if zipf and points:
         middle = points[len(points) // 3]
         line = [(rank, middle[1] * (rank / middle[0]) ** -zipf["alpha"]) for rank, _ in points]
-        axes.loglog([r for r, _ in line], [c for _, c in line], "--", color=LINES[3], linewidth=1.2,
+        axes.loglog([r for r, _ in line], [c for _, c in line], "--", color=PALETTE[3], linewidth=1.2,
                     label=f"Zipf, alpha {zipf['alpha']:.2f}")  # fmt: skip
         axes.legend()
-    logarithmic(axes.xaxis, axes.yaxis)
+    plain_tick_labels(axes.xaxis, axes.yaxis)
     axes.set_xlabel("rank of the object")
     axes.set_ylabel("requests")
     return svg(drawing, "Popularity")
@@ -68,13 +68,13 @@
             [one["cache"] for one in curve],
             [one["misses"] for one in curve],
             yerr=[one["error"] for one in curve],
-            color=LINES[index],
+            color=PALETTE[index],
             marker=".",
             capsize=2,
             label=label,
         )
     axes.set_xscale("log")
-    logarithmic(axes.xaxis)
+    plain_tick_labels(axes.xaxis)
     axes.set_ylim(0, 1.02)
     axes.set_xlabel("cache size")
     axes.set_ylabel("miss ratio")
@@ -96,10 +96,10 @@
                 for bucket in range(low, high)
             ],
             align="edge",
-            color=LINES[1],
+            color=PALETTE[1],
         )
         axes.set_xscale("log")
-        logarithmic(axes.xaxis)
+        plain_tick_labels(axes.xaxis)
     axes.set_xlabel("bytes")
     axes.set_ylabel("GETs")
     return svg(drawing, "Sizes")
@@ -121,5 +121,5 @@
     return environment.get_template("page.html").render(
         whole=summary,
         told=stats_summary,
-        charts={name: Markup(own_ids(text, name)) for name, text in charts.items()},
+        charts={name: Markup(prefix_ids(text, name)) for name, text in charts.items()},
     )
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -177,7 +177,7 @@
 
     def test_digest_is_the_same_with_any_number_of_workers(self) -> None:
         experiment = load_experiment(SMALL_EXPERIMENT)
-        results = [runs.run(experiment, self.folder / str(n), n, "code", command.play) for n in (1, 3)]
+        results = [runs.run(experiment, self.folder / str(n), n, "code", command.run_cell) for n in (1, 3)]
         self.assertEqual(study.digest(results[0]), study.digest(reversed(results[1])))
         self.assertEqual(len(results[0]), 4)
 
@@ -222,7 +222,7 @@
 
     def test_errors_in_a_file_name_line_and_field(self) -> None:
         def error(text: str) -> str:
-            with self.assertRaises(kdl.Fault) as caught:
+            with self.assertRaises(kdl.KdlError) as caught:
                 load_experiment(text)
             return str(caught.exception).rpartition("small.kdl")[2]
 
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -142,7 +142,7 @@
             try:
                 load.parse(kdl.parse(text, "t.kdl"))
                 lines.append("read")
-            except kdl.Fault as fault:
+            except kdl.KdlError as fault:
                 lines.append(str(fault))
         self.check("tiers-files", lines)
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -96,7 +96,7 @@
         with tempfile.NamedTemporaryFile("w", suffix=".kdl") as file:
             file.write(text)
             file.flush()
-            with self.assertRaises(kdl.Fault) as caught:
+            with self.assertRaises(kdl.KdlError) as caught:
                 script.load(file.name)
             return str(caught.exception).replace(file.name, "FILE")
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -19,7 +19,7 @@
 
 from damsonstream.console import text
 from damsonstream.console.app import Console
-from damsonstream.console.follow import Following
+from damsonstream.console.follow import RecordFollower
 from damsonstream.console.history import History
 from damsonstream.demo import scenario
 from damsonstream.demo.check import Recorded, check
@@ -74,12 +74,12 @@
                     found = operator.read(str(path))
                     limits = found.records and (found.records.limits.bytes, found.records.limits.age)
                     output.append(f"{name}: {found.records and found.records.folder} {limits}")
-                except kdl.Fault as fault:
+                except kdl.KdlError as fault:
                     output.append(f"{name}: {str(fault).replace(folder, '')}")
             path.unlink()
             try:
                 operator.read(str(path))
-            except kdl.Fault as fault:
+            except kdl.KdlError as fault:
                 output.append(f"no file: {str(fault).replace(folder, '')}")
         self.check("operator", output)
 
@@ -97,7 +97,7 @@
             try:
                 found = scenario.parse_scenario("own", kdl.parse(f"step {{ {step}; }}", "own.kdl"))
                 output.append(f"{name}: {found.steps}")
-            except kdl.Fault as fault:
+            except kdl.KdlError as fault:
                 output.append(f"{name}: {fault}")
         output += [f"shipped: {name}, {scenario.load(name).lasts:g} s" for name in scenario.shipped_names()]
         self.check("scenarios", output)
@@ -153,7 +153,7 @@
         for at, ages in ((start + 10 * S, None), (end, None), (end, {"n1": 0.3, "n2\x1b[2J": 9.0}),
                          (end + 60 * S, None)):  # fmt: skip
             view = history.view(at, ages)
-            output += [f"== {(at - start) / S:.0f} s, {view.worst}", *text.lines(view, start, 80, "test")[1:]]
+            output += [f"== {(at - start) / S:.0f} s, {view.state}", *text.lines(view, start, 80, "test")[1:]]
         self.assertLessEqual(max(map(len, output)), 80)
         self.assertNotIn("\x1b", "".join(output))
         self.check("console", output)
@@ -161,7 +161,7 @@
     def test_on_a_terminal_of_80_by_24(self) -> None:
         """Presses keys as a user would, and checks what the screen shows."""
         with tempfile.TemporaryDirectory() as folder:
-            following = Following(Path(folder))
+            following = RecordFollower(Path(folder))
             following.history = self.history()
             output = list[str]()
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -365,7 +365,7 @@
             try:
                 format = formats.parse("own", kdl.parse(text, "own.kdl"))
                 lines.append(f"{case}: {format.columns} {format.time}")
-            except kdl.Fault as fault:
+            except kdl.KdlError as fault:
                 lines.append(f"{case}: {fault}")
         self.check("trace-formats", lines)
 
