--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -16,7 +16,7 @@
 
 sys.path.append(".")
 from damsonstream.peers import subsets
-from damsonstream.peers.pieces import FEATURES
+from damsonstream.peers.features import FEATURES
 from damsonstream.virtual.fleet import Fleet
 from damsonstream.virtual.links import S, links_with_fault
 
--- a/benchmarks/reading.py
+++ b/benchmarks/reading.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from damsonstream.records import model, segment
-from damsonstream.records.keeper import MAX_SEGMENT_BYTES
+from damsonstream.records.write_policy import MAX_SEGMENT_BYTES
 from damsonstream.records.writer import file_name
 
 S = 10_000
--- a/benchmarks/recording.py
+++ b/benchmarks/recording.py
@@ -19,7 +19,7 @@
 import anyio
 
 from damsonstream.demo import scenario
-from damsonstream.demo.play import DemoRun
+from damsonstream.demo.runner import DemoRun
 from damsonstream.standins import clients, servers, wire
 
 TICK = os.sysconf("SC_CLK_TCK")
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -22,7 +22,7 @@
 
 import numpy as np
 
-from damsonstream.traces import shape
+from damsonstream.traces import transforms
 from damsonstream.traces.reuse import ExactReuse, ReuseEstimator
 
 CSV_SCRIPT = """
@@ -48,9 +48,9 @@
 def read(rows: int) -> None:
     with tempfile.TemporaryDirectory() as holder:
         path = Path(holder) / "cache-requests.csv"
-        character = shape.TraceProfile(gets=rows, rate=20_000, objects=1_000_000, alpha=0.9, once=0.1)
+        character = transforms.TraceProfile(gets=rows, rate=20_000, objects=1_000_000, alpha=0.9, once=0.1)
         with path.open("w") as stream:
-            for gets in shape.generate(character, 1):
+            for gets in transforms.generate(character, 1):
                 times, objects = (gets["time"] // 1_000_000).tolist(), gets["object"].tolist()
                 sizes, clients = gets["size"].tolist(), (gets["client"] % 500).tolist()
                 stream.writelines(
@@ -108,9 +108,9 @@
 
 def misses() -> None:
     for alpha, once in ((0.6, 0.0), (0.9, 0.0), (0.9, 0.3), (1.2, 0.0)):
-        character = shape.TraceProfile(gets=1_000_000, objects=100_000, alpha=alpha, once=once)
+        character = transforms.TraceProfile(gets=1_000_000, objects=100_000, alpha=alpha, once=once)
         exact, reuse = ExactReuse(), ReuseEstimator()
-        for gets in shape.generate(character, 3):
+        for gets in transforms.generate(character, 3):
             exact.add(gets["object"], gets["size"])
             reuse.add(gets["object"], gets["size"])
         sizes = [10.0, 100, 1000, 10_000, 100_000]
--- a/damsonstream/console/app.py
+++ b/damsonstream/console/app.py
@@ -20,7 +20,7 @@
 from damsonstream.console import text
 from damsonstream.console.follow import RecordFollower
 from damsonstream.console.history import S, View
-from damsonstream.incident.words import plain
+from damsonstream.incident.describe import plain
 
 REFRESH_SECONDS = 0.5  # interval at which new records are read
 COLOURS = {
--- a/damsonstream/console/history.py
+++ b/damsonstream/console/history.py
@@ -16,9 +16,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from damsonstream.incident.clocks import Clocks, Observation, BootTimes, align
-from damsonstream.incident.rates import TimeBuckets
-from damsonstream.incident.words import describe_record, plain
+from damsonstream.incident.clocks import BootTimes, Clocks, Observation, align
+from damsonstream.incident.describe import describe_record, plain
+from damsonstream.incident.time_buckets import TimeBuckets
 from damsonstream.records import model
 from damsonstream.records.store import Item, Problem
 
@@ -327,7 +327,9 @@
         """Returns the alignment of the clocks, which is recomputed if there is new evidence."""
         if self.realign:
             boots = [
-                BootTimes((g.name, b.number), b.first, b.last) for g in self.gateways.values() for b in g.boots
+                BootTimes((g.name, b.number), b.first, b.last)
+                for g in self.gateways.values()
+                for b in g.boots
             ]
             self.clocks, self.realign = align(list(self.sightings), boots), False
         return self.clocks
--- a/damsonstream/console/text.py
+++ b/damsonstream/console/text.py
@@ -10,7 +10,7 @@
 from datetime import UTC, datetime
 
 from damsonstream.console.history import Event, GatewayRow, NodeRow, PeersRow, ServiceRow, View, ZoneRow
-from damsonstream.incident.words import plain
+from damsonstream.incident.describe import plain
 
 S = 10_000  # ticks of 0.1 ms per second
 GATEWAYS = ("gateway", "boot", "state", "GET/s", "in time", "shed/s", "err/s", "open", "CPU", "MB", "gaps")
--- a/damsonstream/demo/check.py
+++ b/damsonstream/demo/check.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from damsonstream.demo.play import ExecutedStep, Truth
+from damsonstream.demo.runner import ExecutedStep, Truth
 
 PHASE_TOLERANCE = 1.0  # seconds by which the start or end of a phase may differ
 # Seconds before a kill in which records may be lost: the interval between writes, plus the delay of a busy
--- a/damsonstream/demo/verdict.py
+++ b/damsonstream/demo/recorded_gets.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from damsonstream.demo.check import Recorded
-from damsonstream.incident.accounting import Get, GetLedger, Forward, StrayRecord
+from damsonstream.incident.accounting import Forward, Get, GetLedger, StrayRecord
 from damsonstream.records import model, store
 
 
--- a/damsonstream/demo/play.py
+++ b/damsonstream/demo/runner.py
@@ -15,12 +15,12 @@
 
 import anyio
 
-from damsonstream.demo import figures
-from damsonstream.demo.figures import PROFILES, TOKEN_TTL
+from damsonstream.demo import configuration
+from damsonstream.demo.configuration import PROFILES, TOKEN_TTL
 from damsonstream.demo.fleet import Fleet
 from damsonstream.demo.scenario import Scenario, Step
 from damsonstream.standins import wire
-from damsonstream.standins.clients import LoadGenerator, ClientGet
+from damsonstream.standins.clients import ClientGet, LoadGenerator
 from damsonstream.standins.faults import FaultPlan
 from damsonstream.standins.servers import LOOPBACK, Shape, StandIns
 from damsonstream.standins.traffic import GROUPS, Catalogue, arrivals
@@ -66,7 +66,7 @@
         "bulletin": f"{LOOPBACK}:{stand_ins.discovery.port}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
         "known": wire.event_log(events, list(stand_ins.locations), list(stand_ins.models)),
-        "settings": figures.gateway_settings(scenario.gateways, stand_ins.models, stand_ins.locations),
+        "settings": configuration.gateway_settings(scenario.gateways, stand_ins.models, stand_ins.locations),
     }
 
 
@@ -78,7 +78,9 @@
         self.rng = random.Random(seed)
         self.catalogue = Catalogue(PROFILES, seed)
         shape = Shape(1, scenario.caches, scenario.hubs)
-        self.stand_ins = StandIns(shape, FaultPlan(scenario.node_faults()), seed, self.catalogue.describe, TOKEN_TTL)
+        self.stand_ins = StandIns(
+            shape, FaultPlan(scenario.node_faults()), seed, self.catalogue.describe, TOKEN_TTL
+        )
         names = [f"n{n + 1}" for n in range(scenario.gateways)]
         self.fleet = Fleet(
             folder, records, names, scenario.clocks, lambda _: gateway_config(self.stand_ins, scenario)
--- a/damsonstream/demo/scenario.py
+++ b/damsonstream/demo/scenario.py
@@ -1,7 +1,7 @@
 """Loads the demo's scenarios from KDL. No sockets.
 
-`load(name)` reads a shipped scenario or a file of the user's, and raises `settings.kdl.Fault` for a malformed
-one. `scaled(scenario, seconds)` compresses or stretches a scenario to another duration.
+`load(name)` reads a shipped scenario or a file of the user's, and raises `settings.kdl.KdlError` for a
+malformed one. `scaled(scenario, seconds)` compresses or stretches a scenario to another duration.
 """
 
 from __future__ import annotations
--- a/damsonstream/emulator/gateway.py
+++ b/damsonstream/emulator/gateway.py
@@ -18,16 +18,16 @@
 
 from damsonstream.emulator.engine import MS, S, Task
 from damsonstream.emulator.nodes import START_UNIX, Answer, Command, Node, Purge
-from damsonstream.peers.council import GOSSIP_INTERVAL, PeerAgent, source_id
-from damsonstream.peers.pieces import ZONES
+from damsonstream.peers.agent import GOSSIP_INTERVAL, PeerAgent, source_id
+from damsonstream.peers.features import ZONES
 from damsonstream.routing import interface as i
 from damsonstream.settings import kdl
 from damsonstream.tiers import load
-from damsonstream.tiers.service import SourceSelector
+from damsonstream.tiers.selector import SourceSelector
 from damsonstream.together.checks import Forwarded
 
 if TYPE_CHECKING:
-    from damsonstream.emulator.play import Emulation
+    from damsonstream.emulator.script_run import Emulation
 
 ONE_WAY_DELAY = 3  # ticks on loopback and through a relay
 UPDATE_INTERVAL = 1_000  # ticks between updates of the hierarchy, as in program/tiering.py
@@ -99,7 +99,9 @@
         )  # fmt: skip
         self.hierarchy: SourceSelector | None = None
         if emulation.hierarchy:
-            self.hierarchy = SourceSelector(self.coordinator, self.index, self.now(), ZONES in emulation.features)
+            self.hierarchy = SourceSelector(
+                self.coordinator, self.index, self.now(), ZONES in emulation.features
+            )
             self.reload_hierarchy()
         self.router: EventHandler = emulation.make_router(self.index)
         self.handle_event(
@@ -110,7 +112,10 @@
             if not isinstance(update, Purge):
                 entries |= {entry.cache: entry for entry in update}
         self.apply_list("full", tuple(entries.values()))
-        for func, interval in ((self.exchange_with_peers, GOSSIP_INTERVAL), (self.update_hierarchy, UPDATE_INTERVAL)):
+        for func, interval in (
+            (self.exchange_with_peers, GOSSIP_INTERVAL),
+            (self.update_hierarchy, UPDATE_INTERVAL),
+        ):
             self.repeat(self.emulation.rng.randrange(interval), interval, func)
         self.schedule(STARTUP_TIME if self.incarnation > 1 else 0, self.become_ready)
 
@@ -327,8 +332,8 @@
         self.use_connection(node.name)
         key = (get.service, get.object_id, "0")
         source = forward.source if forward.source != forward.cache else ""
-        command = Command(key, source, forward.max_age // MS, forward.collapse, forward.only_if_cached, get.token,
-                          max(MS, get.deadline - self.engine.now))  # fmt: skip
+        command = Command(key, source, forward.max_age // MS, forward.collapse, forward.only_if_cached,
+                          get.token, max(MS, get.deadline - self.engine.now))  # fmt: skip
 
         def arrive() -> None:
             if get.in_flight.get(attempt.index) is not attempt:
--- a/damsonstream/emulator/nodes.py
+++ b/damsonstream/emulator/nodes.py
@@ -18,12 +18,16 @@
 from damsonstream.protocol.resp import NOTE_CODES
 from damsonstream.routing import interface as i
 from damsonstream.standins import servers
+from damsonstream.standins.cache_store import CacheStore, Copy, EffectLog, Key
 from damsonstream.standins.faults import Condition, FaultPlan
-from damsonstream.standins.shelf import Copy, EffectLog, Key, CacheStore
 
 START_UNIX = 1_764_576_000 * S  # Unix time that all gateways' clocks show at the start of a run
 FOREVER = 3600 * S
-HIT_TIME, FILL_TIMEOUT, PURGE_TIME = int(servers.HIT_TIME * S), int(servers.FILL_TIMEOUT * S), int(servers.PURGE_DELAY * S)
+HIT_TIME, FILL_TIMEOUT, PURGE_TIME = (
+    int(servers.HIT_TIME * S),
+    int(servers.FILL_TIMEOUT * S),
+    int(servers.PURGE_DELAY * S),
+)
 MODELS = servers.StandIns.models
 MODEL_BY_ROLE = {"cache": "box", "hub": "hub", "vault": "vault"}
 STATES = ("active", "leaving", "left")
--- a/damsonstream/emulator/play.py
+++ b/damsonstream/emulator/script_run.py
@@ -19,21 +19,21 @@
 from hashlib import blake2b
 from typing import Any
 
-from damsonstream.demo.figures import PROFILES, TOKEN_TTL
+from damsonstream.demo.configuration import PROFILES, TOKEN_TTL
 from damsonstream.emulator.engine import Engine, S
 from damsonstream.emulator.gateway import EventHandler, Gateway
 from damsonstream.emulator.nodes import MODELS, Node, World
 from damsonstream.emulator.viewers import Viewers
 from damsonstream.peers import wire
-from damsonstream.peers.council import hash_zone as zone_digest
-from damsonstream.peers.council import source_id
-from damsonstream.peers.pieces import FEATURES
+from damsonstream.peers.agent import hash_zone as zone_digest
+from damsonstream.peers.agent import source_id
+from damsonstream.peers.features import FEATURES
 from damsonstream.routing.interface import Deployment
 from damsonstream.routing.router import Router
 from damsonstream.standins import clients, servers
 from damsonstream.standins.faults import FaultPlan
 from damsonstream.standins.traffic import GROUPS, Catalogue, arrivals
-from damsonstream.together import figures
+from damsonstream.together import configuration
 from damsonstream.together.checks import Filled, Observations, Tried
 from damsonstream.together.links import CLEAR, Links
 from damsonstream.together.script import Script, Step
@@ -62,11 +62,11 @@
             raise UnsupportedScript("a script with zones defines its own gateways, so shops must be 1")
         self.script, self.seed, self.shops = script, seed, shops
         self.features = frozenset(FEATURES) - without
-        self.rng, self.message_price = random.Random(seed), figures.PEER_MESSAGE_COST
+        self.rng, self.message_price = random.Random(seed), configuration.PEER_MESSAGE_COST
         self.make_router: Callable[[int], EventHandler] = make_router or (lambda index: Router())
         self.engine = Engine()
         self.links = Links(script.links)
-        location_of, gateway_counts = figures.shop_assignment(script)
+        location_of, gateway_counts = configuration.shop_assignment(script)
         if shops > 1:
             per_shop = len(script.gateways)
             location_of, gateway_counts = (lambda index: index // per_shop), [per_shop] * shops
@@ -82,11 +82,13 @@
         world = self.world
         self.footprint: Callable[[int], Deployment] = cache(
             lambda index: footprint(
-                figures.gateway_settings(script, index, location_of, gateway_counts, MODELS, world.locations)
+                configuration.gateway_settings(
+                    script, index, location_of, gateway_counts, MODELS, world.locations
+                )
             )
         )
         self.record = Observations(names)
-        self.zone_by_node = figures.zone_by_node(script, cache_count)
+        self.zone_by_node = configuration.zone_by_node(script, cache_count)
         self.uids = {name: node.uid for name, node in world.nodes.items()}
         self.revision, self.hierarchy = 0, ""
         if script.zones:
@@ -101,7 +103,7 @@
 
     def next_revision(self) -> None:
         self.revision += 1
-        self.hierarchy = figures.hierarchy_kdl(self.script, self.uids, self.revision)
+        self.hierarchy = configuration.hierarchy_kdl(self.script, self.uids, self.revision)
 
     # links between processes
 
@@ -214,5 +216,12 @@
 
     def digest(self) -> str:
         record = self.record
-        parts = (record.forwards, record.gets, record.fills, record.datagrams, record.opened, record.violations)
+        parts = (
+            record.forwards,
+            record.gets,
+            record.fills,
+            record.datagrams,
+            record.opened,
+            record.violations,
+        )
         return blake2b(repr(parts).encode(), digest_size=8).hexdigest()
--- a/damsonstream/emulator/study.py
+++ b/damsonstream/emulator/study.py
@@ -18,7 +18,7 @@
 import numpy as np
 
 from damsonstream.emulator.baselines import DEFAULT_ROUTER, ROUTERS
-from damsonstream.peers.pieces import FEATURES
+from damsonstream.peers.features import FEATURES
 from damsonstream.settings import kdl
 from damsonstream.together import script
 from damsonstream.together.checks import CHECKS, Check
--- a/damsonstream/emulator/viewers.py
+++ b/damsonstream/emulator/viewers.py
@@ -18,7 +18,7 @@
 from damsonstream.standins.traffic import Arrival, Catalogue
 
 if TYPE_CHECKING:
-    from damsonstream.emulator.play import Emulation
+    from damsonstream.emulator.script_run import Emulation
 
 MIN_TIME_LEFT = S // 20  # ticks; a viewer with less time left does not try again
 
--- a/damsonstream/incident/gather.py
+++ b/damsonstream/incident/analysis.py
@@ -19,16 +19,16 @@
     COMPLETE,
     VIOLATIONS,
     Boot,
+    Forward,
     Get,
     GetLedger,
-    Forward,
     StrayRecord,
     total_verdicts,
 )
-from damsonstream.incident.clocks import Clocks, Observation, BootTimes, align, find_steps
+from damsonstream.incident.clocks import BootTimes, Clocks, Observation, align, find_steps
+from damsonstream.incident.describe import describe_step
 from damsonstream.incident.phases import Phase, PhaseDetector
 from damsonstream.incident.rules import Finding, RuleChecker
-from damsonstream.incident.words import describe_step
 from damsonstream.records import model, store
 from damsonstream.records.store import Item, Problem
 
@@ -199,7 +199,9 @@
         record = entry.record
         first, last = first or record.at, max(last, record.at)
         if isinstance(record, model.Purge) and record.number:
-            yield Observation((gateway, boot), ("purge", record.thing, record.group, record.issued), record.at)
+            yield Observation(
+                (gateway, boot), ("purge", record.thing, record.group, record.issued), record.at
+            )
         elif isinstance(record, model.Listed) and record.number and not record.whole:
             lines = tuple(sorted((line.cache, line.state, line.since) for line in record.lines))
             yield Observation((gateway, boot), ("list", lines), record.at)
--- a/damsonstream/incident/phases.py
+++ b/damsonstream/incident/phases.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from damsonstream.incident.accounting import Boot, Get, Forward, StrayRecord
+from damsonstream.incident.accounting import Boot, Forward, Get, StrayRecord
 from damsonstream.incident.clocks import Clocks
-from damsonstream.incident.rates import Latencies, TimeBuckets
+from damsonstream.incident.time_buckets import Latencies, TimeBuckets
 from damsonstream.records import model
 
 MS, S = 10, 10_000
--- a/damsonstream/incident/rules.py
+++ b/damsonstream/incident/rules.py
@@ -10,7 +10,7 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from damsonstream.incident.accounting import TIMEOUT_TOLERANCE, VIOLATIONS, Get, Forward, StrayRecord
+from damsonstream.incident.accounting import TIMEOUT_TOLERANCE, VIOLATIONS, Forward, Get, StrayRecord
 from damsonstream.incident.clocks import Clocks
 from damsonstream.records import model
 
--- a/damsonstream/peers/council.py
+++ b/damsonstream/peers/agent.py
@@ -20,19 +20,19 @@
 from heapq import heappop, heappush
 from typing import TYPE_CHECKING
 
-from damsonstream.peers import order, wire
+from damsonstream.peers import rendezvous, wire
 from damsonstream.peers.evidence import Evidence
-from damsonstream.peers.members import HEARTBEAT_INTERVAL, Membership
-from damsonstream.peers.pieces import FEATURES
+from damsonstream.peers.features import FEATURES
+from damsonstream.peers.gossip import Gossip
+from damsonstream.peers.membership import HEARTBEAT_INTERVAL, Membership
 from damsonstream.peers.shares import Shares
-from damsonstream.peers.spread import Gossip
 from damsonstream.peers.subsets import assign
-from damsonstream.peers.turns import TrialSchedule
+from damsonstream.peers.trials import TrialSchedule
 from damsonstream.routing.interface import PeerVerdict
 from damsonstream.routing.router import stable_hash as router_digest
 
 if TYPE_CHECKING:
-    from damsonstream.tiers.verdicts import ZoneStatus, ZoneTracker
+    from damsonstream.tiers.zone_status import ZoneStatus, ZoneTracker
 
 S = 10_000  # clock ticks (0.1 ms) per second
 GOSSIP_INTERVAL = S // 10  # between rounds of gossip; an item passes through 200 gateways in about six rounds
@@ -83,7 +83,9 @@
         self.evidence, self.trials = Evidence(own_index, fleet_size), TrialSchedule(own_index)
         static = "shares" not in features
         self.location_shares = Shares(own_index, location, location_size, now, static)
-        self.fleet_shares = Shares(own_index, wire.ALL_LOCATIONS, fleet_size, now, static, self.location_shares.get_times)
+        self.fleet_shares = Shares(
+            own_index, wire.ALL_LOCATIONS, fleet_size, now, static, self.location_shares.get_times
+        )
         self.gossip = Gossip(message_cost, now)
         self.gossip.fleet_size = fleet_size
         # by peer; limited by the list of peers
@@ -190,7 +192,7 @@
         if assigned_to != gateways:
             assignment = assign(gateways, self.sources[in_location], WATCHERS)
             self.assignments[in_location] = gateways, assignment
-        return assignment.get(source) or order.select(gateways, source, WATCHERS)
+        return assignment.get(source) or rendezvous.select(gateways, source, WATCHERS)
 
     def watches(self, source: int) -> bool:
         """Returns whether this gateway watches a cache of its location, and so keeps connections to it."""
@@ -301,7 +303,9 @@
                 if (grant := shares.grant(now, sender, item)) is not None:
                     self.direct_items.append((sender, grant))
             case wire.Grant():
-                (self.location_shares if item.scope == self.location else self.fleet_shares).receive_grant(now, sender, item)
+                (self.location_shares if item.scope == self.location else self.fleet_shares).receive_grant(
+                    now, sender, item
+                )
         return []
 
     def apply_trial_outcome(self, now: int, source: int, outcome: str) -> list[PeerVerdict]:
@@ -321,7 +325,7 @@
     def set_zones(self, now: int, zones: Mapping[str, float]) -> None:
         """Follows these zones from now on; `zones`: the seconds that each one's return takes, by name."""
         # its dependencies load only where zones are followed
-        from damsonstream.tiers.verdicts import ZoneTracker
+        from damsonstream.tiers.zone_status import ZoneTracker
 
         if self.zones is None:
             self.zones = ZoneTracker.create(zones, now / S, self.members.fleet_size)
@@ -367,7 +371,7 @@
 
     def zone_verdict(self, item: wire.ZoneItem) -> ZoneStatus | None:
         """Returns the verdict that an item carries, None for unknown zones."""
-        from damsonstream.tiers.verdicts import BY_RANK, ZoneStatus
+        from damsonstream.tiers.zone_status import BY_RANK, ZoneStatus
 
         name = self.zone_names.get(item.zone)
         if name is None:
@@ -376,7 +380,7 @@
 
     def publish_zones(self, now: int) -> None:
         """Publishes the verdicts on zones that are due."""
-        from damsonstream.tiers.verdicts import RANK
+        from damsonstream.tiers.zone_status import RANK
 
         if self.zones is None:
             return
@@ -472,7 +476,10 @@
         used = MAX_HEADER_BYTES + sum(wire.encoded_size(item) for item in items)
         allowed = min(
             wire.MAX_DATAGRAM_BYTES,
-            self.gossip.available_bytes(now, max(self.fleet_shares.mean_demand, self.fleet_shares.demand(now))) - reserve,
+            self.gossip.available_bytes(
+                now, max(self.fleet_shares.mean_demand, self.fleet_shares.demand(now))
+            )
+            - reserve,
         )
         if allowed < used:
             self.counters["held back"] += 1
--- a/damsonstream/peers/members.py
+++ b/damsonstream/peers/membership.py
@@ -21,7 +21,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from damsonstream.peers import order, wire
+from damsonstream.peers import rendezvous, wire
 
 S = 10_000  # clock ticks (0.1 ms) per second
 # Two of four neighbors have to suspect a gateway, so that the other two may be dead or cut off as well.
@@ -94,7 +94,7 @@
         self.fleet_size = fleet_size
         for peer in [peer for peer in self.others if peer >= fleet_size]:
             self.forget(peer)
-        self.ring = order.ring(fleet_size)
+        self.ring = rendezvous.ring(fleet_size)
         self.ring_positions = {peer: position for position, peer in enumerate(self.ring)}
         # when each neighbor was last heard; the first heartbeat is due from now on
         self.neighbors_heard_at = {peer: now for peer in self.neighbors(self.own_index)}
--- a/damsonstream/peers/subsets.py
+++ b/damsonstream/peers/subsets.py
@@ -20,7 +20,7 @@
 import math
 from collections.abc import Iterable, Sequence
 
-from damsonstream.peers import order
+from damsonstream.peers import rendezvous
 
 # Capacity of a gateway over the mean load: less moves more assignments as lists change, more is less even.
 LOAD_SLACK = 1.25
@@ -29,7 +29,7 @@
 
 def assign(gateways: Sequence[int], sources: Iterable[int], watchers_each: int) -> dict[int, list[int]]:
     """Returns the watchers of each source; fewer than `watchers_each` only if there are fewer gateways."""
-    ordered = sorted(set(sources), key=lambda source: (order.weight(source, ORDER_KEY), source))
+    ordered = sorted(set(sources), key=lambda source: (rendezvous.weight(source, ORDER_KEY), source))
     watchers_each = min(watchers_each, len(gateways))
     if not ordered or not watchers_each:
         return {source: [] for source in ordered}
@@ -37,7 +37,7 @@
     load = dict.fromkeys(gateways, 0)
     assignment: dict[int, list[int]] = {}
     for source in ordered:
-        ranked = sorted(gateways, key=lambda gateway: (order.weight(gateway, source), gateway))
+        ranked = sorted(gateways, key=lambda gateway: (rendezvous.weight(gateway, source), gateway))
         chosen = [gateway for gateway in ranked if load[gateway] < capacity][:watchers_each]
         for gateway in chosen:
             load[gateway] += 1
--- a/damsonstream/peers/turns.py
+++ b/damsonstream/peers/trials.py
@@ -24,7 +24,7 @@
 
 from dataclasses import dataclass
 
-from damsonstream.peers import order, wire
+from damsonstream.peers import rendezvous, wire
 
 S = 10_000  # clock ticks (0.1 ms) per second
 ORDER_STEP = S // 4  # two rounds of gossip, enough for a message to reach the next gateways in order
@@ -83,11 +83,11 @@
         """Returns how long this gateway waits for those before it in the order; a gateway that does not watch
         the source comes after all watchers. Watchers may still be in their cooldown or take no GET for the
         source, so the others follow soon."""
-        own_rank = (order.weight(self.own_index, source), self.own_index)
+        own_rank = (rendezvous.weight(self.own_index, source), self.own_index)
         if self.own_index not in watchers:
             return ORDER_STEP * min(MAX_STEPS, len(watchers)) + int(OUTSIDER_SPREAD * own_rank[0])
         return ORDER_STEP * min(
-            MAX_STEPS, sum((order.weight(other, source), other) < own_rank for other in watchers)
+            MAX_STEPS, sum((rendezvous.weight(other, source), other) < own_rank for other in watchers)
         )
 
     def may_try(self, now: int, source: int, cooldown_end: int, watchers: list[int]) -> bool:
@@ -156,4 +156,4 @@
 
     def close_delay(self, source: int) -> int:
         """Returns after what delay this gateway closes its breaker: the fleet is spread over CLOSE_SPREAD."""
-        return int(CLOSE_SPREAD * order.weight(self.own_index, source ^ 0xBACC))
+        return int(CLOSE_SPREAD * rendezvous.weight(self.own_index, source ^ 0xBACC))
--- a/damsonstream/program/cli.py
+++ b/damsonstream/program/cli.py
@@ -8,14 +8,14 @@
 
 import sys
 
-from damsonstream.program import own
+from damsonstream.program import gateway_cli
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Runs one command and returns its exit code; the arguments default to those of the process."""
     arguments = sys.argv[1:] if arguments is None else arguments
-    if arguments and arguments[0] in own.COMMANDS:
-        return own.run(arguments)
+    if arguments and arguments[0] in gateway_cli.COMMANDS:
+        return gateway_cli.run(arguments)
     from damsonstream.program.commands import root
 
     return root.run(arguments)
--- a/damsonstream/program/commands/demo.py
+++ b/damsonstream/program/commands/demo.py
@@ -13,9 +13,9 @@
 
 from damsonstream.demo import scenario as scenarios
 from damsonstream.demo.check import check
-from damsonstream.demo.play import DemoRun, Truth, execute
-from damsonstream.demo.verdict import recorded
-from damsonstream.incident import gather as reading
+from damsonstream.demo.recorded_gets import recorded
+from damsonstream.demo.runner import DemoRun, Truth, execute
+from damsonstream.incident import analysis as reading
 from damsonstream.program import toollogs
 from damsonstream.program.commands.playing import run_or_exit
 from damsonstream.program.commands.report import render, write_atomically
@@ -37,7 +37,9 @@
     counts = "  ".join(f"{name} {outcomes[name]}" for name in ("returned", "shed", "errored", "lost", "late"))
     now = max(0.0, play.stand_ins.now())
     recent = [f"{s.does} {s.to}".strip() for s in play.scenario.steps if now - 1 < s.at <= now]
-    click.echo(f"{now:5.1f} s  GETs {len(play.generator.sent_gets):5}  {counts}  {'; '.join(recent)}".rstrip())
+    click.echo(
+        f"{now:5.1f} s  GETs {len(play.generator.sent_gets):5}  {counts}  {'; '.join(recent)}".rstrip()
+    )
 
 
 @click.command()
--- a/damsonstream/program/commands/experiment.py
+++ b/damsonstream/program/commands/experiment.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from damsonstream.emulator import baselines, hunt, page, runs, study
-from damsonstream.emulator.play import Emulation, UnsupportedScript
-from damsonstream.peers.pieces import FEATURES
+from damsonstream.emulator.script_run import Emulation, UnsupportedScript
+from damsonstream.peers.features import FEATURES
 from damsonstream.program import toollogs
 from damsonstream.program.commands.playing import print_result, run_or_exit, scripts
 from damsonstream.program.config import parse_footprint
@@ -26,8 +26,9 @@
 def run_cell(experiment: study.Experiment, cell: study.Cell) -> study.Outcome:
     """Simulates one cell of an experiment; called in worker processes."""
     policy = experiment.policy(cell.policy)
-    simulation = Emulation(experiment.script, parse_footprint, frozenset(policy.without), cell.seed, shops=cell.shops,
-                      make_router=baselines.policy_factory(policy.router, cell.seed))  # fmt: skip
+    simulation = Emulation(experiment.script, parse_footprint, frozenset(policy.without), cell.seed,
+                           shops=cell.shops,
+                           make_router=baselines.policy_factory(policy.router, cell.seed))  # fmt: skip
     observed = simulation.run()
     figures = [checks.CHECKS[one.check.name](one.check, observed) for one in experiment.measures]
     return study.Outcome(cell.shops, cell.policy, cell.seed, [round(float(x), 6) for x in figures],
@@ -228,8 +229,8 @@
         lambda: hunt.hunt(base, lambda one: returned(one, frozenset()) - returned(one, alone), budget, seed)
     )
     text = hunt.to_kdl(found.script)
-    click.echo(f"{found.evaluated} scripts evaluated; share returned with the peer exchange minus share without: "
-               f"{found.score:+.4f} (before the script was shortened: {found.first_score:+.4f})")  # fmt: skip
+    click.echo(f"{found.evaluated} scripts evaluated; share returned with the peer exchange minus share "
+               f"without: {found.score:+.4f} (before the script was shortened: {found.first_score:+.4f})")  # fmt: skip
     click.echo(text, nl=False)
     write_file(out, text)
     return 1 if found.score < -MIN_LOSS_SHARE else 0
--- a/damsonstream/program/commands/records.py
+++ b/damsonstream/program/commands/records.py
@@ -13,8 +13,8 @@
 import click
 import msgspec
 
-from damsonstream.incident.gather import merge_records
-from damsonstream.incident.words import describe_record, plain
+from damsonstream.incident.analysis import merge_records
+from damsonstream.incident.describe import describe_record, plain
 from damsonstream.records import model, store
 from damsonstream.records.store import Item, Problem
 
--- a/damsonstream/program/commands/report.py
+++ b/damsonstream/program/commands/report.py
@@ -9,8 +9,8 @@
 
 import click
 
-from damsonstream.incident import gather as reading
-from damsonstream.incident.gather import Incident
+from damsonstream.incident import analysis as reading
+from damsonstream.incident.analysis import Incident
 
 
 def write_atomically(path: Path, text: str) -> None:
--- a/damsonstream/program/commands/root.py
+++ b/damsonstream/program/commands/root.py
@@ -13,7 +13,7 @@
 import click
 
 from damsonstream import __version__
-from damsonstream.program import own
+from damsonstream.program import gateway_cli
 
 # command name: module and attribute, one line of help
 COMMANDS = {
@@ -87,7 +87,7 @@
     )  # fmt: skip
     @click.argument("arguments", nargs=-1, type=click.UNPROCESSED)
     def command(arguments: tuple[str, ...]) -> None:
-        sys.exit(own.run([name, *arguments]))
+        sys.exit(gateway_cli.run([name, *arguments]))
 
     return command
 
--- a/damsonstream/program/commands/tiers.py
+++ b/damsonstream/program/commands/tiers.py
@@ -11,8 +11,8 @@
 from damsonstream.settings import kdl
 from damsonstream.tiers import checks, draw, load, loss
 from damsonstream.tiers import plan as planning
+from damsonstream.tiers.hierarchy import Topology, differences
 from damsonstream.tiers.load import to_kdl as load_text
-from damsonstream.tiers.shape import Topology, differences
 
 FILE = click.Path(path_type=Path, exists=True, dir_okay=False)
 
--- a/damsonstream/program/commands/together.py
+++ b/damsonstream/program/commands/together.py
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from damsonstream.peers.pieces import FEATURES
+from damsonstream.peers.features import FEATURES
 from damsonstream.program import toollogs
 from damsonstream.program.commands.playing import print_result, run_or_exit, scripts
 from damsonstream.settings import kdl
@@ -48,7 +48,9 @@
         f"{loaded.name}: {loaded.about}; {len(loaded.gateways)} gateways, {loaded.lasts:g} s, in {folder}"
     )
     uvloop = {"use_uvloop": True}
-    observed = run_or_exit(lambda: anyio.run(rig.run_script, loaded, off, folder, seed, backend_options=uvloop))
+    observed = run_or_exit(
+        lambda: anyio.run(rig.run_script, loaded, off, folder, seed, backend_options=uvloop)
+    )
     result = verdict.evaluate(loaded, off, observed, time.monotonic() - started)
     print_result(result, observed)
     click.echo(result.verdict)
--- a/damsonstream/program/commands/traces.py
+++ b/damsonstream/program/commands/traces.py
@@ -12,14 +12,14 @@
 import click
 import numpy as np
 
-from damsonstream.incident.words import plain
+from damsonstream.incident.describe import plain
 from damsonstream.settings import kdl
 from damsonstream.traces import format as formats
-from damsonstream.traces import shape
+from damsonstream.traces import transforms
 from damsonstream.traces.gets import DRAWN, MOVED, WRITE, Options, fate_name
-from damsonstream.traces.native import NativeTrace, CorruptTrace, TraceWriter
-from damsonstream.traces.order import TimeRule
+from damsonstream.traces.native import CorruptTrace, NativeTrace, TraceWriter
 from damsonstream.traces.reader import TraceReader
+from damsonstream.traces.reorder import TimeRule
 
 FILE = click.Path(path_type=Path, exists=True, dir_okay=False)
 OUT = click.Path(path_type=Path, dir_okay=False)
@@ -108,7 +108,9 @@
         except ValueError as fault:
             raise click.UsageError(f"--window {window} is not a duration such as 10s.") from fault
         options = Options(seed, sizes == "draw")
-        self.reading = TraceReader(self.paths, loaded, options, TimeRule(width, late=late, steps=steps), shards)
+        self.reading = TraceReader(
+            self.paths, loaded, options, TimeRule(width, late=late, steps=steps), shards
+        )
 
     def batches(self) -> Iterator[np.ndarray]:
         """Yields the GETs in batches."""
@@ -363,7 +365,7 @@
 @read_options
 @click.option("--speed", default=1.0, type=click.FloatRange(0.0001, 10_000), help="Speed-up factor.")
 @click.option("--rate", type=click.FloatRange(0.0, 1.0), help="Share of the GETs to keep.")
-@click.option("--by", type=click.Choice(shape.BY), default="object", show_default=True,
+@click.option("--by", type=click.Choice(transforms.BY), default="object", show_default=True,
               help="What is kept or dropped as a unit.")  # fmt: skip
 @click.option("-o", "--output", type=OUT, required=True)
 @handle_corrupt_file
@@ -376,7 +378,10 @@
     once.
     """
     source = Source([file], **how)
-    thinning, scaling = shape.Thinning(1.0 if rate is None else rate, by, how["seed"]), shape.Scaling(speed)
+    thinning, scaling = (
+        transforms.Thinning(1.0 if rate is None else rate, by, how["seed"]),
+        transforms.Scaling(speed),
+    )
     parts = (scaling.apply(thinning.apply(gets)) for gets in source.batches())
     return write_trace(output, {"made": {"speed": speed, "rate": rate, "by": by}}, parts, source.about)
 
@@ -392,7 +397,7 @@
 def anonymize(file: Path, salt_file: Path | None, output: Path, **how: Any) -> int:
     """Replace the names of objects, clients and tenants by new ones that can't be linked without the salt."""
     source = Source([file], **how)
-    renaming = shape.Anonymizer(salt_file.read_bytes() if salt_file else secrets.token_bytes(32))
+    renaming = transforms.Anonymizer(salt_file.read_bytes() if salt_file else secrets.token_bytes(32))
     about = {"made": {"anonymized": True}}
     return write_trace(output, about, (renaming.apply(gets) for gets in source.batches()), lambda: {})
 
@@ -435,9 +440,12 @@
         except (ValueError, KeyError, TypeError) as fault:
             raise click.UsageError(f"{like} is not what `traces stats --json` prints: {fault!r}") from fault
     parameters |= {key: value for key, value in asked.items() if value is not None}
-    character = shape.TraceProfile(gets=gets, **parameters)
+    character = transforms.TraceProfile(gets=gets, **parameters)
     return write_trace(
-        output, {"made": {"generated": parameters, "seed": seed}}, shape.generate(character, seed), lambda: {}
+        output,
+        {"made": {"generated": parameters, "seed": seed}},
+        transforms.generate(character, seed),
+        lambda: {},
     )
 
 
@@ -494,7 +502,7 @@
     resumes, SIGINT and SIGTERM stop and write the checkpoint. Exit code 0 if every GET was returned, 1 if
     not, 2 if the trace can't be replayed.
     """
-    from damsonstream.replay import play as playing
+    from damsonstream.replay import session as playing
     from damsonstream.replay.account import UnusableCheckpoint
 
     if bool(gateways) == bool(fleet):
@@ -539,8 +547,8 @@
     file: Path, slow: str, slow_from: float, slow_until: float, slow_by: float, cache_bytes: str, **how: Any
 ) -> int:
     """Run a trace through the router only, without sockets, at full speed, for quick studies."""
-    from damsonstream.replay.alone import RouterReplay, RouterReplaySetting
-    from damsonstream.replay.run import trace_gets
+    from damsonstream.replay.replayer import trace_gets
+    from damsonstream.replay.router_only import RouterReplay, RouterReplaySetting
 
     source = Source([file], **how)
     try:
--- a/damsonstream/program/gathering.py
+++ b/damsonstream/program/gathering.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from damsonstream.peers.council import GOSSIP_INTERVAL, PeerAgent, source_id
+from damsonstream.peers.agent import GOSSIP_INTERVAL, PeerAgent, source_id
 from damsonstream.program.config import Config
 from damsonstream.protocol import bulletin
 from damsonstream.routing.gateway import NS_PER_TICK, TICKS_PER_MS, Clock
--- a/damsonstream/program/tiering.py
+++ b/damsonstream/program/tiering.py
@@ -1,7 +1,7 @@
 """Applies the operator's cache hierarchy at one gateway, and updates it on reloads, list changes and timers.
 
 Usage: `create_hierarchy_manager(path, config, peer_exchange, clock, features, recorder)` returns a
-`HierarchyManager`, whose `service` the router queries, or raises `settings.kdl.Fault`. `update_list()`
+`HierarchyManager`, whose `service` the router queries, or raises `settings.kdl.KdlError`. `update_list()`
 receives changes of the list of caches, `reload()` reads the file again (SIGHUP), and `run()` is the
 background task.
 """
@@ -13,14 +13,14 @@
 
 import anyio
 
-from damsonstream.peers.pieces import ZONES
+from damsonstream.peers.features import ZONES
 from damsonstream.program.config import Config
 from damsonstream.protocol import bulletin
 from damsonstream.routing.gateway import TICKS_PER_MS, Clock
 from damsonstream.settings import kdl
 from damsonstream.tiers import load
-from damsonstream.tiers.service import LocalCoordinator, SourceSelector
-from damsonstream.tiers.shape import Topology
+from damsonstream.tiers.hierarchy import Topology
+from damsonstream.tiers.selector import LocalCoordinator, SourceSelector
 
 if TYPE_CHECKING:  # imported at run time only if enabled
     from damsonstream.program.gathering import PeerExchange
@@ -42,7 +42,9 @@
     ) -> None:  # fmt: skip
         self.path, self.clock, self.recorder = path, clock, recorder
         coordinator = (
-            peer_exchange.coordinator if peer_exchange is not None else LocalCoordinator(config.footprint.gateways)
+            peer_exchange.coordinator
+            if peer_exchange is not None
+            else LocalCoordinator(config.footprint.gateways)
         )
         coordinated = features is None or ZONES in features
         self.service = SourceSelector(coordinator, config.place, clock.now(), coordinated)
@@ -87,7 +89,9 @@
     def record_state(self, now: int) -> None:
         """Logs each change of a zone's state; records all zones on changes and each `RECORD_INTERVAL`."""
         service = self.service
-        zone_states = {zone: service.coordinator.zone_state(now, zone) for zone in sorted(service.topology.zones)}
+        zone_states = {
+            zone: service.coordinator.zone_state(now, zone) for zone in sorted(service.topology.zones)
+        }
         states = {zone: state for zone, (state, _, _) in zone_states.items()}
         changed = states != self.logged_states
         for zone, state in states.items() if changed else ():  # "Well" is the state of a healthy zone
--- a/damsonstream/records/recorder.py
+++ b/damsonstream/records/recorder.py
@@ -58,12 +58,13 @@
         )
 
     def forward_sent(self, now: int, number: int, leg: int, forward: i.Forward) -> None:
-        self.write(model.Sent(self.record_time(now), number, leg, forward.cache, forward.source, forward.max_age,
-                              forward.only_if_cached))  # fmt: skip
+        self.write(model.Sent(self.record_time(now), number, leg, forward.cache, forward.source,
+                              forward.max_age, forward.only_if_cached))  # fmt: skip
 
     def forward_ended(self, now: int, event: i.ForwardEnded, stamp: int) -> None:
         self.write(model.Came(self.record_time(now), event.get, event.attempt, event.cache, event.result,
-                              event.fill_code, event.duration, event.first_byte, event.shared_failure, stamp))  # fmt: skip
+                              event.fill_code, event.duration, event.first_byte, event.shared_failure,
+                              stamp))  # fmt: skip
 
     def get_answered(self, now: int, number: int, outcome: str, come_back: int, size: int, leg: int) -> None:
         self.write(model.Answered(self.record_time(now), number, outcome, come_back, size, leg))
@@ -86,8 +87,8 @@
         self, now: int, name: str, version: str, footprint: i.Deployment, drain_grace: int, purge_grace: int
     ) -> None:
         services = [
-            model.Service(s.name, s.objective, s.objective_per_transfer, s.viewer_timeout, s.revenue, s.late_share, s.idempotency,
-                          s.token_scope, s.token_lifetime)
+            model.Service(s.name, s.objective, s.objective_per_transfer, s.viewer_timeout, s.revenue,
+                          s.late_share, s.idempotency, s.token_scope, s.token_lifetime)
             for s in footprint.services
         ]  # fmt: skip
         self.write(model.Began(self.record_time(now), self.writer.boot, name, version,
--- a/damsonstream/records/store.py
+++ b/damsonstream/records/store.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from damsonstream.records import model, segment
-from damsonstream.records.keeper import MAX_SEGMENT_BYTES
+from damsonstream.records.write_policy import MAX_SEGMENT_BYTES
 from damsonstream.records.writer import parse_file_name
 
 MAX_FILE_BYTES = 4 * MAX_SEGMENT_BYTES  # segments are smaller: a larger file is not a segment and is not read
--- a/damsonstream/records/writer.py
+++ b/damsonstream/records/writer.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 
 from damsonstream.records import model, segment
-from damsonstream.records.keeper import Limits, StoredSegment, WritePolicy, next_boot
+from damsonstream.records.write_policy import Limits, StoredSegment, WritePolicy, next_boot
 
 log = logging.getLogger(__name__)
 SEGMENT_FILE_NAME = re.compile(r"(\d{8,})-(\d{8,})\.rec")
--- a/damsonstream/replay/run.py
+++ b/damsonstream/replay/replayer.py
@@ -20,7 +20,13 @@
 
 from damsonstream.replay.account import Account, UnusableCheckpoint
 from damsonstream.replay.limits import Limits, ReplayRule
-from damsonstream.standins.clients import CONNECTIONS, MAX_STREAMS, LoadGenerator, GatewayConnection, PendingGet
+from damsonstream.standins.clients import (
+    CONNECTIONS,
+    MAX_STREAMS,
+    GatewayConnection,
+    LoadGenerator,
+    PendingGet,
+)
 from damsonstream.standins.traffic import Arrival, Catalogue, ServiceProfile
 from damsonstream.traces.gets import WRITE, mix64
 
--- a/damsonstream/replay/alone.py
+++ b/damsonstream/replay/router_only.py
@@ -14,10 +14,10 @@
 from typing import Any
 
 from damsonstream.replay.account import histogram, percentiles, to_micros
-from damsonstream.replay.run import TraceGet
+from damsonstream.replay.replayer import TraceGet
 from damsonstream.routing import interface as i
 from damsonstream.routing.router import Router
-from damsonstream.standins.shelf import Copy, CacheStore
+from damsonstream.standins.cache_store import CacheStore, Copy
 
 TICKS_PER_S, TICKS_PER_MS = 10_000, 10
 # Time until the answer: a hit in the cache, a fill from a copy at a parent, a fill from the origin.
@@ -118,8 +118,12 @@
         self.caches = {f"c{n + 1}": CacheStore(setting.cache_bytes) for n in range(setting.caches)}
         self.parents = {f"p{n + 1}": CacheStore(setting.parent_bytes) for n in range(setting.parents)}
         self.dispatch(i.Started(setting.seed, footprint))
-        entries = [i.ListEntry(name, "shop", "active", 24.0, n, "box", 0) for n, name in enumerate(self.caches)]
-        entries += [i.ListEntry(name, "hubs", "active", 64.0, n, "hub", 0) for n, name in enumerate(self.parents)]
+        entries = [
+            i.ListEntry(name, "shop", "active", 24.0, n, "box", 0) for n, name in enumerate(self.caches)
+        ]
+        entries += [
+            i.ListEntry(name, "hubs", "active", 64.0, n, "hub", 0) for n, name in enumerate(self.parents)
+        ]
         entries.append(i.ListEntry("o", "hubs", "active", 48.0, 0, "vault", 0))
         self.dispatch(i.ListUpdate("full", tuple(entries)))
 
--- a/damsonstream/replay/play.py
+++ b/damsonstream/replay/session.py
@@ -14,15 +14,15 @@
 
 import anyio
 
-from damsonstream.demo.figures import PROFILES
-from damsonstream.demo.play import DemoRun
+from damsonstream.demo.configuration import PROFILES
+from damsonstream.demo.runner import DemoRun
 from damsonstream.demo.scenario import Scenario, Step, load
 from damsonstream.replay.account import Account
 from damsonstream.replay.limits import ReplayRule
-from damsonstream.replay.run import Replay, TraceGet, load_account, trace_gets
+from damsonstream.replay.replayer import Replay, TraceGet, load_account, trace_gets
 from damsonstream.standins.traffic import Key
 from damsonstream.traces.native import NativeTrace
-from damsonstream.traces.shape import Scaling
+from damsonstream.traces.transforms import Scaling
 
 TAIL = 30.0  # seconds after the last GET, for GETs that are still open
 
--- a/damsonstream/report/charts.py
+++ b/damsonstream/report/charts.py
@@ -13,9 +13,9 @@
 
 import matplotlib
 
-from damsonstream.incident.gather import Incident
+from damsonstream.incident.analysis import Incident
+from damsonstream.incident.describe import plain
 from damsonstream.incident.phases import Phase
-from damsonstream.incident.words import plain
 
 matplotlib.use("svg")
 matplotlib.rcParams.update(
--- a/damsonstream/report/page.py
+++ b/damsonstream/report/page.py
@@ -13,8 +13,8 @@
 from markupsafe import Markup
 
 from damsonstream import __version__
-from damsonstream.incident.gather import Incident, summary
-from damsonstream.incident.words import plain
+from damsonstream.incident.analysis import Incident, summary
+from damsonstream.incident.describe import plain
 from damsonstream.report import charts
 
 S = 10_000  # ticks of 0.1 ms per second
--- a/damsonstream/routing/gateway.py
+++ b/damsonstream/routing/gateway.py
@@ -164,7 +164,9 @@
         if self.timer is not None:
             self.timer.cancel()
         self.timer_at = self.wake_times[0]
-        self.timer = self.loop.call_later((self.timer_at - self.clock.now()) / (1000 * TICKS_PER_MS), self.on_timer)
+        self.timer = self.loop.call_later(
+            (self.timer_at - self.clock.now()) / (1000 * TICKS_PER_MS), self.on_timer
+        )
 
     def on_timer(self) -> None:
         self.timer = None
--- a/damsonstream/routing/interface.py
+++ b/damsonstream/routing/interface.py
@@ -76,7 +76,7 @@
 
 
 class PeerGroup(Protocol):
-    """Decisions that the gateways make together (implemented by damsonstream/peers/council.py).
+    """Decisions that the gateways make together (implemented by damsonstream/peers/agent.py).
 
     A node is identified by the low 32 bits of its hash. `local` is true for caches of this location, which
     concern only the gateways of the location; parents and the origin concern all gateways.
@@ -113,7 +113,7 @@
 
 
 class Hierarchy(Protocol):
-    """The operator's cache hierarchy (implemented by damsonstream/tiers/service.py)."""
+    """The operator's cache hierarchy (implemented by damsonstream/tiers/selector.py)."""
 
     def contains(self, cache: str) -> bool:
         """Returns whether the hierarchy contains the cache; one that it does not contain is not used."""
@@ -232,7 +232,17 @@
     """A requested wake-up is due."""
 
 
-Event = Started | ListUpdate | GetReceived | Purged | ClientLeft | AnswerStarted | ForwardEnded | PeerVerdict | Woken
+Event = (
+    Started
+    | ListUpdate
+    | GetReceived
+    | Purged
+    | ClientLeft
+    | AnswerStarted
+    | ForwardEnded
+    | PeerVerdict
+    | Woken
+)
 
 
 @dataclass(slots=True, frozen=True)
--- a/damsonstream/routing/life.py
+++ b/damsonstream/routing/life.py
@@ -167,7 +167,13 @@
                             get.time_left_ms * TICKS_PER_MS, get.is_retry)  # fmt: skip
         gateway.handle_event(
             i.GetReceived(
-                number, get.time_left_ms * TICKS_PER_MS, get.service, get.object_id, get.group, 0.0, get.is_retry
+                number,
+                get.time_left_ms * TICKS_PER_MS,
+                get.service,
+                get.object_id,
+                get.group,
+                0.0,
+                get.is_retry,
             )
         )
         while not finished or pending or inbox.steps:
--- a/damsonstream/routing/router.py
+++ b/damsonstream/routing/router.py
@@ -284,7 +284,8 @@
         self.caches, self.parents = tuple[Node, ...](), tuple[Node, ...]()
         self.origin: Node | None = None
         self.gets: dict[int, Get] = {}  # until their final answers
-        self.pending: dict[tuple[int, int], PendingForward] = {}  # by GET and attempt, until each forward ends
+        # by GET and attempt, until each forward ends
+        self.pending: dict[tuple[int, int], PendingForward] = {}
         self.timers: list[tuple[int, int, int]] = []  # heap of (time, GET, attempt or kind of timer)
         self.wake_at, self.swept_at, self.lost_subscriptions, self.units_known = (
             -1,
@@ -416,7 +417,10 @@
             # and use a source only on a miss.
             source = cache
         only_if_cached = (
-            source.role == "parent" and not config.uncacheable and get.miss_level < 2 and self.origin_strained()
+            source.role == "parent"
+            and not config.uncacheable
+            and get.miss_level < 2
+            and self.origin_strained()
         )
         nodes = [cache] if source is cache else [cache, source]
         if get.miss_level == 2 and self.origin and source is not self.origin:
@@ -547,7 +551,8 @@
         if self.hierarchy:
             hash_point, names = hash_fraction(get.hash, 0), [n.name for n in sources]
             sources = [
-                self.nodes[name] for name in self.hierarchy.eligible_sources(self.now, cache.name, hash_point, names)
+                self.nodes[name]
+                for name in self.hierarchy.eligible_sources(self.now, cache.name, hash_point, names)
             ]
         return next(iter(sources), cache)
 
@@ -655,7 +660,9 @@
         is_parent = node.role == "parent"
         multiple = config.parent_cold_multiple if is_parent else config.cold_multiple
         own_share = 1 / (config.gateways if is_parent else config.location_gateways)
-        capacity = node.entry.capacity * (self.peers.limit_share(self.now, not is_parent) if self.peers else own_share)
+        capacity = node.entry.capacity * (
+            self.peers.limit_share(self.now, not is_parent) if self.peers else own_share
+        )
         # unknown capacity: use the load this gateway puts on warm nodes of the same role
         if not self.units_known:
             warm_nodes = [n for n in (self.parents if is_parent else self.caches) if self.warm_share(n) >= 1]
@@ -664,7 +671,9 @@
             )
             capacity = requested / (3 * S * len(warm_nodes)) if warm_nodes else 0.0
         rate = 0.5 * multiple * warm_share * capacity  # 0.5: reserve for random variation
-        max_credit = max(rate * config.cold_overload_span, *(service.mean_transfer for service in self.services))
+        max_credit = max(
+            rate * config.cold_overload_span, *(service.mean_transfer for service in self.services)
+        )
         # first use since its start; random, to desynchronize gateways
         if node.cold_credit_at < node.entry.started_at:
             node.cold_credit, node.cold_credit_at = self.rng.random() * max_credit, self.now
@@ -680,7 +689,9 @@
         Until a purge has settled at all caches, copies older than the purge are refused.
         """
         config = get.service.config
-        max_age = config.max_age + config.stale_grace if no_fill and config.max_age and config.stale_grace else 0
+        max_age = (
+            config.max_age + config.stale_grace if no_fill and config.max_age and config.stale_grace else 0
+        )
         purged_at = max(self.purges.get(get.object_id, -1), self.purges.get(get.group, -1))
         if purged_at >= 0 and self.now - purged_at < self.config.purge_settle_time:
             return min(max(1, self.now - purged_at), max_age or config.max_age or MASK_64)
@@ -784,7 +795,9 @@
         # fill codes 2 and 3: filled, by the source itself or through the origin
         returned, alive = event.result == "returned", event.result in ("returned", "lacking")
         filled = event.fill_code in (2, 3) or (returned and self.config.fill_codes == "none")
-        blamed = None if returned or forward.blamed or event.shared_failure else self.blamed_node(forward, event)
+        blamed = (
+            None if returned or forward.blamed or event.shared_failure else self.blamed_node(forward, event)
+        )
         if alive:
             cache.failures_in_row, cache.ok_at = 0, self.now
         if alive or blamed is cache:
@@ -915,7 +928,10 @@
             service.mean_transfer += 0.02 * (event.duration - service.mean_transfer)
         # only hits, or results without a fill code, adjust the limit of the cache
         if get.transfer_time and event.fill_code in (0, 1):
-            if event.duration > service.config.objective + service.config.objective_per_transfer * get.transfer_time:
+            if (
+                event.duration
+                > service.config.objective + service.config.objective_per_transfer * get.transfer_time
+            ):
                 cache.limit = max(3.0, cache.limit * 0.9)
             elif self.load(cache) >= 0.7:
                 cache.limit += 16 / cache.limit
@@ -930,10 +946,16 @@
         if blamed is None and all(n.breaker.state == "Closed" for n in (forward.cache, forward.source)):
             return heappush(self.timers, (self.now + self.overdue_after(get), get.id, forward.attempt))
         may_hedge = (
-            len(get.pending) == 1 and self.retry_budget >= 1 and get.service.config.idempotency == "idempotent"
+            len(get.pending) == 1
+            and self.retry_budget >= 1
+            and get.service.config.idempotency == "idempotent"
         )
         cache = self.pick_cache(get) if may_hedge and self.may_forward(get) else None
-        if cache is not None and self.config.allows_recall and "Open" in (n.breaker.state for n in forward.nodes):
+        if (
+            cache is not None
+            and self.config.allows_recall
+            and "Open" in (n.breaker.state for n in forward.nodes)
+        ):
             # hung fills must not use up a healthy cache's capacity
             self.actions.append(i.Recall(get.id, forward.attempt))
         elif cache is not None and not self.blocking_node(get, cache):
@@ -961,7 +983,9 @@
     def recall(self, get: Get, excepted: int) -> None:
         """Recalls (cancels) all pending forwards of the GET except one."""
         self.actions += [
-            i.Recall(get.id, attempt) for attempt in get.pending if self.config.allows_recall and attempt != excepted
+            i.Recall(get.id, attempt)
+            for attempt in get.pending
+            if self.config.allows_recall and attempt != excepted
         ]
 
     def run_timers(self) -> None:
--- a/damsonstream/settings/operator.py
+++ b/damsonstream/settings/operator.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from damsonstream.peers.pieces import FEATURES
-from damsonstream.records.keeper import Limits
+from damsonstream.peers.features import FEATURES
+from damsonstream.records.write_policy import Limits
 from damsonstream.settings import kdl
 
 MIN_STORE_BYTES = 1 << 20  # room for eight segments of 128 KB
--- a/damsonstream/standins/clients.py
+++ b/damsonstream/standins/clients.py
@@ -219,7 +219,9 @@
         finally:
             self.open -= 1
 
-    def send(self, connection: GatewayConnection, arrival: Arrival, retry: int, remaining: float) -> PendingGet:
+    def send(
+        self, connection: GatewayConnection, arrival: Arrival, retry: int, remaining: float
+    ) -> PendingGet:
         ident = f"{self.rng.getrandbits(64):016x}"
         get = ClientGet(ident, connection.name, arrival.profile.name, arrival.obj, self.now(), retry)
         self.sent_gets.append(get)
--- a/damsonstream/standins/servers.py
+++ b/damsonstream/standins/servers.py
@@ -20,8 +20,8 @@
 from anyio.abc import TaskGroup
 
 from damsonstream.standins import wire
+from damsonstream.standins.cache_store import CacheStore, Copy, EffectLog, Key
 from damsonstream.standins.faults import Condition, FaultPlan
-from damsonstream.standins.shelf import Copy, EffectLog, Key, CacheStore
 from damsonstream.transport.link import TcpConnection
 
 LOOPBACK = "127.0.0.1"
@@ -115,7 +115,10 @@
         """
         stand_ins = self.stand_ins
         if (
-            wait := max(stand_ins.blocked_for(requester.name, self.name), stand_ins.blocked_for(self.name, requester.name))
+            wait := max(
+                stand_ins.blocked_for(requester.name, self.name),
+                stand_ins.blocked_for(self.name, requester.name),
+            )
         ) > 0:
             await anyio.sleep(wait)  # the link is blocked: the request is delayed until it recovers
         condition = self.condition()
--- a/damsonstream/tiers/checks.py
+++ b/damsonstream/tiers/checks.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from damsonstream.tiers.shape import CACHE, HUB, ROLES, VAULT, Topology
+from damsonstream.tiers.hierarchy import CACHE, HUB, ROLES, VAULT, Topology
 
 MAX_NODES = 10_000
 
--- a/damsonstream/tiers/draw.py
+++ b/damsonstream/tiers/draw.py
@@ -6,9 +6,9 @@
 
 from __future__ import annotations
 
-from damsonstream.incident.words import plain
+from damsonstream.incident.describe import plain
+from damsonstream.tiers.hierarchy import Topology
 from damsonstream.tiers.loss import LossForecast
-from damsonstream.tiers.shape import Topology
 
 
 def tree(topology: Topology) -> list[str]:
--- a/damsonstream/tiers/load.py
+++ b/damsonstream/tiers/load.py
@@ -1,6 +1,7 @@
 """Reads and writes the operator's hierarchy file (KDL).
 
-`load(path)` and `parse(section)` return a `Topology` or raise `settings.kdl.Fault` with file, line and field.
+`load(path)` and `parse(section)` return a `Topology` or raise `settings.kdl.KdlError` with file, line and
+field.
 `line_numbers(path)` maps each node and zone to its line, `to_kdl(topology)` writes a topology as KDL. Rules
 that involve several nodes are checked by `checks.py`.
 """
@@ -8,7 +9,7 @@
 from __future__ import annotations
 
 from damsonstream.settings import kdl
-from damsonstream.tiers.shape import DEFAULT_RAMP_S, ROLES, Node, Topology, Zone, topology_of
+from damsonstream.tiers.hierarchy import DEFAULT_RAMP_S, ROLES, Node, Topology, Zone, topology_of
 
 
 def name_argument(section: kdl.Section, what: str) -> str:
--- a/damsonstream/tiers/loss.py
+++ b/damsonstream/tiers/loss.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass, field
 
-from damsonstream.tiers.near import SpillPolicy
-from damsonstream.tiers.shape import CACHE, HUB, Topology
+from damsonstream.tiers.hierarchy import CACHE, HUB, Topology
+from damsonstream.tiers.spill import SpillPolicy
 
 
 @dataclass(slots=True)
--- a/damsonstream/tiers/plan.py
+++ b/damsonstream/tiers/plan.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, replace
 
 from damsonstream.tiers.checks import check
-from damsonstream.tiers.shape import CACHE, HUB, VAULT, Node, Topology
+from damsonstream.tiers.hierarchy import CACHE, HUB, VAULT, Node, Topology
 
 
 @dataclass(slots=True, frozen=True)
--- a/damsonstream/tiers/revisions.py
+++ b/damsonstream/tiers/revisions.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 
 from damsonstream.tiers.checks import Problem, check
-from damsonstream.tiers.shape import Topology
+from damsonstream.tiers.hierarchy import Topology
 
 MAX_KEPT_REVISIONS = 64  # revisions that a rollback can return to
 
--- a/damsonstream/tiers/service.py
+++ b/damsonstream/tiers/selector.py
@@ -23,11 +23,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from damsonstream.tiers.near import GOLDEN_RATIO, SpillPolicy, TokenBucket
+from damsonstream.tiers.hierarchy import CACHE, HUB, VAULT, Topology
 from damsonstream.tiers.revisions import Refusal, Revisions
-from damsonstream.tiers.shape import CACHE, HUB, VAULT, Topology
 from damsonstream.tiers.shield import Shield
-from damsonstream.tiers.verdicts import ZoneTracker
+from damsonstream.tiers.spill import GOLDEN_RATIO, SpillPolicy, TokenBucket
+from damsonstream.tiers.zone_status import ZoneTracker
 from damsonstream.tiers.zones import FIRST_SHARE, MAX_FAILING_SHARE, TRIALS_TO_RETURN
 
 SECOND = 10_000  # in tenths of a millisecond
@@ -148,7 +148,9 @@
             previous, self.spill = self.spill, SpillPolicy(topology, self.phase)
             self.spill.buckets |= {n: b for n, b in previous.buckets.items() if n in self.spill.buckets}
             self.spill.spilled, self.spill.unplaced = previous.spilled, previous.unplaced
-            self.coordinator.set_zones(now, {name: zone.ramp for name, zone in sorted(topology.zones.items())})
+            self.coordinator.set_zones(
+                now, {name: zone.ramp for name, zone in sorted(topology.zones.items())}
+            )
             self.observations = {
                 name: self.observations.get(name, ZoneObservation()) for name in topology.zones
             }
@@ -242,7 +244,10 @@
         if source_node.zone != cache_node.zone:
             self.spill.charge(cache_node.zone, source_node.zone)
             return SPILL_BUDGET
-        if self.coordinator.zone_home_share(now, cache_node.zone) < FIRST_SHARE and source not in self.tripped:
+        if (
+            self.coordinator.zone_home_share(now, cache_node.zone) < FIRST_SHARE
+            and source not in self.tripped
+        ):
             self.trial_bucket(cache_node.zone).tokens -= 1.0
             return TRIAL_BUDGET
         return ""
--- a/damsonstream/tiers/near.py
+++ b/damsonstream/tiers/spill.py
@@ -27,7 +27,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from damsonstream.tiers.shape import HUB, Topology
+from damsonstream.tiers.hierarchy import HUB, Topology
 
 BURST_S = 1.0  # seconds of its part that a gateway may save up: enough for a fill of the largest object
 GOLDEN_RATIO = 0.618034  # multiples of it modulo 1 are evenly spread, however many there are
--- a/damsonstream/tiers/verdicts.py
+++ b/damsonstream/tiers/zone_status.py
@@ -32,7 +32,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from damsonstream.tiers.shape import DEFAULT_RAMP_S
+from damsonstream.tiers.hierarchy import DEFAULT_RAMP_S
 from damsonstream.tiers.zones import (
     DOUBT_S,
     FIRST_SHARE,
--- a/damsonstream/tiers/zones.py
+++ b/damsonstream/tiers/zones.py
@@ -22,8 +22,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from damsonstream.tiers.shape import DEFAULT_RAMP_S as DEFAULT_RAMP_S
-from damsonstream.tiers.shape import Zone
+from damsonstream.tiers.hierarchy import DEFAULT_RAMP_S as DEFAULT_RAMP_S
+from damsonstream.tiers.hierarchy import Zone
 
 WELL, DOUBTED, LOST, RETURNING = "Well", "Doubted", "Lost", "Returning"
 WINDOW_S = 3.0  # seconds of forwards that a zone is judged by: the same window as the breakers'
--- a/damsonstream/together/checks.py
+++ b/damsonstream/together/checks.py
@@ -198,7 +198,8 @@
 def zone_change_count(check: Check, seen: Observations) -> float:
     """Counts the distinct state changes of a zone that any gateway reported."""
     return len({(item.epoch, item.step) for _, item in seen.messages_matching(check, wire.ZoneItem)
-                if isinstance(item, wire.ZoneItem) and seen.zone_names.get(item.zone) == check.of})  # fmt: skip
+                if isinstance(item, wire.ZoneItem)
+                and seen.zone_names.get(item.zone) == check.of})  # fmt: skip
 
 
 def outcome_share(outcome: str) -> Callable[[Check, Observations], float]:
--- a/damsonstream/together/figures.py
+++ b/damsonstream/together/configuration.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any
 
-from damsonstream.demo import figures
+from damsonstream.demo import configuration
 from damsonstream.together.script import Script
 
 PEER_MESSAGE_COST = 0.01  # setting: share of all revenue that one full peer message per GET costs
@@ -36,8 +36,12 @@
     script: Script, index: int, shop_of: Callable[[int], int], gateways_per_shop: Sequence[int],
     models: Sequence[str], locations: Sequence[str],
 ) -> dict[str, Any]:  # fmt: skip
-    result = figures.gateway_settings(sum(gateways_per_shop), models, locations)
-    result |= {"ordinal": index, "deductions": {"peer": PEER_MESSAGE_COST}, "myZone": locations[shop_of(index)]}
+    result = configuration.gateway_settings(sum(gateways_per_shop), models, locations)
+    result |= {
+        "ordinal": index,
+        "deductions": {"peer": PEER_MESSAGE_COST},
+        "myZone": locations[shop_of(index)],
+    }
     result["familyInfo"]["zoneBalancers"] = [*gateways_per_shop, 0]
     result["limits"]["peerMessages"] = True
     initial_share, overload_multiple = script.cold_start
--- a/damsonstream/together/rig.py
+++ b/damsonstream/together/rig.py
@@ -16,19 +16,19 @@
 
 import anyio
 
-from damsonstream.demo import play as demo
-from damsonstream.demo.figures import PROFILES, TOKEN_TTL
+from damsonstream.demo import runner as demo
+from damsonstream.demo.configuration import PROFILES, TOKEN_TTL
 from damsonstream.demo.fleet import Fleet, free_port
 from damsonstream.demo.scenario import Scenario
-from damsonstream.peers.council import hash_zone as zone_digest
-from damsonstream.peers.council import source_id
-from damsonstream.peers.pieces import FEATURES
+from damsonstream.peers.agent import hash_zone as zone_digest
+from damsonstream.peers.agent import source_id
+from damsonstream.peers.features import FEATURES
 from damsonstream.standins import wire
 from damsonstream.standins.clients import LoadGenerator
 from damsonstream.standins.faults import FaultPlan
 from damsonstream.standins.servers import LOOPBACK, Node, NodeKind, Shape, StandIns
 from damsonstream.standins.traffic import GROUPS, Catalogue, arrivals
-from damsonstream.together import figures
+from damsonstream.together import configuration
 from damsonstream.together.checks import Filled, Forwarded, Observations, Tried
 from damsonstream.together.links import Links
 from damsonstream.together.relay import DatagramRelay, StreamRelay
@@ -52,10 +52,12 @@
         self.stand_ins.on_forward = self.record_forward
         self.links = Links(script.links)
         self.stand_ins.blocked_for, self.stand_ins.on_fill = self.blocked_for, self.record_fill
-        self.zone_by_node = figures.zone_by_node(script, max(per_shop))
+        self.zone_by_node = configuration.zone_by_node(script, max(per_shop))
         self.revision = 0
         self.folder = folder
-        self.datagrams = DatagramRelay(self.gateway_names, self.links, self.stand_ins.now, random.Random(seed + 3))
+        self.datagrams = DatagramRelay(
+            self.gateway_names, self.links, self.stand_ins.now, random.Random(seed + 3)
+        )
         self.node_streams: dict[tuple[str, str], StreamRelay] = {}
         self.discovery_streams: dict[str, StreamRelay] = {}
         self.scenario = Scenario(script.name, script.about, script.lasts, script.rate,
@@ -80,7 +82,7 @@
         """Writes the next revision of the hierarchy file, as an operator does."""
         self.revision += 1
         uids = {name: node.uid for name, node in self.stand_ins.nodes.items()}
-        (self.folder / "tiers.kdl").write_text(figures.hierarchy_kdl(self.script, uids, self.revision))
+        (self.folder / "tiers.kdl").write_text(configuration.hierarchy_kdl(self.script, uids, self.revision))
 
     def event_for(self, name: str, event: wire.Event) -> wire.Event:
         """Returns a discovery event as one gateway receives it, with the relays' addresses for the nodes."""
@@ -100,10 +102,10 @@
             "peer_listen": f"{LOOPBACK}:{self.peer_ports[name]}",
             "peers": self.datagrams.peer_addresses(name),
         }
-        config["settings"] = figures.gateway_settings(
+        config["settings"] = configuration.gateway_settings(
             self.script,
             self.gateway_names.index(name),
-            *figures.shop_assignment(self.script),
+            *configuration.shop_assignment(self.script),
             stand_ins.models,
             stand_ins.locations,
         )
@@ -225,7 +227,11 @@
         seen.closed = [(at, a, b) for (a, b), stream in self.node_streams.items() for at in stream.closed_at]
         seen.source_ids = {node.name: source_id(node.uid) for node in stand_ins.nodes.values()}
         seen.zone_names = {zone_digest(zone.name): zone.name for zone in self.script.zones}
-        seen.violations = [*stand_ins.violations, *self.generator.violations, *stand_ins.effects.tokens_run_twice]
+        seen.violations = [
+            *stand_ins.violations,
+            *self.generator.violations,
+            *stand_ins.effects.tokens_run_twice,
+        ]
 
 
 async def run_script(script: Script, without: frozenset[str], folder: Path, seed: int) -> Observations:
--- a/damsonstream/together/script.py
+++ b/damsonstream/together/script.py
@@ -1,6 +1,7 @@
 """Loads fault-injection scripts from KDL: the gateways and nodes, the faults, and the checks. No sockets.
 
-`load(path)` returns a `Script`, or raises `settings.kdl.Fault`. The format is described in docs/together.md.
+`load(path)` returns a `Script`, or raises `settings.kdl.KdlError`. The format is described in
+docs/together.md.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from damsonstream.peers.pieces import FEATURES
+from damsonstream.peers.features import FEATURES
 from damsonstream.settings import kdl
 from damsonstream.standins.faults import KINDS as NODE_KINDS
 from damsonstream.standins.faults import Fault
--- a/damsonstream/traces/format.py
+++ b/damsonstream/traces/format.py
@@ -1,7 +1,7 @@
 """Trace formats: data that describes the columns of a published CSV file.
 
 Usage: `load(name)` reads a shipped format or a KDL file of the user, `shipped()` lists the names of the
-shipped ones; both raise `settings.kdl.Fault`. docs/traces.md explains each field.
+shipped ones; both raise `settings.kdl.KdlError`. docs/traces.md explains each field.
 """
 
 from __future__ import annotations
@@ -92,7 +92,7 @@
 
 
 def parse(name: str, top: kdl.Section) -> Format:
-    """Builds a format from a parsed KDL file. Raises `settings.kdl.Fault` for invalid or missing fields."""
+    """Builds a format from a parsed KDL file. Raises `settings.kdl.KdlError` for invalid or missing fields."""
     about, source = top.text("about", name), top.text("source", "")
     csv = top.section("csv")
     if csv is None:
--- a/damsonstream/traces/page.py
+++ b/damsonstream/traces/page.py
@@ -11,7 +11,7 @@
 from jinja2 import Environment, PackageLoader, StrictUndefined
 from markupsafe import Markup
 
-from damsonstream.incident.words import plain
+from damsonstream.incident.describe import plain
 from damsonstream.report.charts import PALETTE, figure, plain_tick_labels, prefix_ids, svg
 from damsonstream.traces.stats import SIZE_BUCKETS_PER_DOUBLING, TraceStats
 
--- a/damsonstream/traces/reader.py
+++ b/damsonstream/traces/reader.py
@@ -23,8 +23,8 @@
 from damsonstream.traces.digest import Digest
 from damsonstream.traces.format import Format
 from damsonstream.traces.gets import GET, MENDED_CODES, SKIPPED_CODES, Batch, GetBuilder, Options
-from damsonstream.traces.guard import LineSanitizer
-from damsonstream.traces.order import ReorderBuffer, TimeRule
+from damsonstream.traces.reorder import ReorderBuffer, TimeRule
+from damsonstream.traces.sanitizer import LineSanitizer
 from damsonstream.traces.tally import Tally
 
 # Blocks that are parsed in parallel. More of them only wait for the interpreter lock, and take memory.
--- a/damsonstream/virtual/fleet.py
+++ b/damsonstream/virtual/fleet.py
@@ -1,7 +1,7 @@
 """Simulates a fleet of gateways in virtual time, with the sans-I/O modules of `peers` alone: no sockets or
 processes.
 
-Usage: `Fleet(count, seed, ...)`, then `until(when)` runs it; `at(when, what)` schedules an event, such as a
+Usage: `Fleet(count, seed, ...)`, then `run_until(time)` runs it; `at(when, what)` schedules an event, such as a
 kill. Each gateway has a `PeerAgent`, a clock offset, a demand, and a simplified breaker for each source: five
 failed fills in a row open it, and two successful trials close it. The caller decides when sources are dead.
 All randomness comes from the seed; events at the same time run in the order in which they were scheduled.
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 
 from damsonstream.emulator.engine import Engine
-from damsonstream.peers.council import GOSSIP_INTERVAL, PeerAgent
-from damsonstream.peers.pieces import FEATURES
+from damsonstream.peers.agent import GOSSIP_INTERVAL, PeerAgent
+from damsonstream.peers.features import FEATURES
 from damsonstream.virtual.links import MS, Links, S
 
 FAILURES_TO_OPEN = 5  # failed fills in a row that open a breaker: the router's minimum
@@ -279,5 +279,7 @@
 
     def fairness(self) -> float:
         """Returns Jain's fairness index of the shares divided by demand: 1 if all are in proportion."""
-        shares = [g.agent.limit_share(self.now + g.clock_offset, False) / g.demand for g in self.gateways if g.alive]
+        shares = [
+            g.agent.limit_share(self.now + g.clock_offset, False) / g.demand for g in self.gateways if g.alive
+        ]
         return sum(shares) ** 2 / (len(shares) * sum(x * x for x in shares))
--- a/damsonstream/virtual/zones.py
+++ b/damsonstream/virtual/zones.py
@@ -13,11 +13,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from damsonstream.peers import order
-from damsonstream.peers.council import PeerAgent, source_id
-from damsonstream.peers.pieces import FEATURES
-from damsonstream.tiers.service import LocalCoordinator, SourceSelector
-from damsonstream.tiers.shape import CACHE, HUB, VAULT, Node, Topology, Zone, topology_of
+from damsonstream.peers import rendezvous
+from damsonstream.peers.agent import PeerAgent, source_id
+from damsonstream.peers.features import FEATURES
+from damsonstream.tiers.hierarchy import CACHE, HUB, VAULT, Node, Topology, Zone, topology_of
+from damsonstream.tiers.selector import LocalCoordinator, SourceSelector
 from damsonstream.virtual.fleet import FILL_TIMEOUT, Breaker, Fleet, Gateway
 from damsonstream.virtual.links import MS, Links, S
 
@@ -125,7 +125,7 @@
     def usable_sources(self, gateway: Gateway, local: int) -> Iterable[str]:
         """Yields the hubs whose breakers let this gateway use them now, then the vault."""
         key = self.rng.getrandbits(30)
-        for source_index in sorted(range(len(self.hubs)), key=lambda n: order.weight(n, key)):
+        for source_index in sorted(range(len(self.hubs)), key=lambda n: rendezvous.weight(n, key)):
             if not gateway.breakers[source_index].open or self.may_try(gateway, source_index, local):
                 yield self.hubs[source_index]
         yield "vault"
@@ -139,7 +139,9 @@
         local, own_zone = self.now + gateway.clock_offset, self.zone_of(gateway.index)
         agent.get_received(local)
         service, cache = self.services[gateway.index], f"{own_zone}-c"
-        allowed = service.eligible_sources(local, cache, self.rng.random(), list(self.usable_sources(gateway, local)))
+        allowed = service.eligible_sources(
+            local, cache, self.rng.random(), list(self.usable_sources(gateway, local))
+        )
         if not allowed:
             self.fills.append(Fill(self.now, own_zone, ""))
             return
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,13 +24,16 @@
 S = 10_000  # ticks of the router's clock per second
 TILES = i.DeliveryService("tiles", 6000, 2.0, 60000, 2.0, 0.15, "idempotent", "all", 0, False, 0, 0, False)
 PAGES = replace(TILES, name="pages", objective=2500, viewer_timeout=25000, revenue=1.0, max_age=8 * S)
-ORDER = replace(TILES, name="order", idempotency="tokened", token_lifetime=3 * S, uncacheable=True, viewer_timeout=30000)
+ORDER = replace(
+    TILES, name="order", idempotency="tokened", token_lifetime=3 * S, uncacheable=True, viewer_timeout=30000
+)
 NON_IDEMPOTENT = replace(ORDER, name="firm", idempotency="non-idempotent")
 FOOTPRINT = i.Deployment(
     services=(TILES, PAGES, ORDER, NON_IDEMPOTENT), location="shop", gateways=4, location_gateways=1,
     models=("box", "parent", "origin"), parent_model="parent", origin_model="origin", capacity_info="rough",
-    must_subscribe=False, resubscribe_within=10 * S, client_kb_per_s=2000.0, fill_codes="hit", collapses_fills=True, allows_direct=False,
-    timer_tick=20, allows_recall=True, allows_hedges=True, allows_retry_after=True, max_forwards=6, max_retry_after=5000,
+    must_subscribe=False, resubscribe_within=10 * S, client_kb_per_s=2000.0, fill_codes="hit",
+    collapses_fills=True, allows_direct=False, timer_tick=20, allows_recall=True, allows_hedges=True,
+    allows_retry_after=True, max_forwards=6, max_retry_after=5000,
     cold_share=0.2, cold_duration=18 * S, cold_multiple=2.5, cold_overload_span=S, parent_cold_share=0.06,
     parent_cold_duration=22 * S, parent_cold_multiple=2.0, purge_settle_time=6 * S,
 )  # fmt: skip
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -12,7 +12,7 @@
 
 from damsonstream.emulator import baselines, hunt, runs, study
 from damsonstream.emulator.engine import Engine, Process, S, Semaphore, Signal
-from damsonstream.emulator.play import Emulation, UnsupportedScript
+from damsonstream.emulator.script_run import Emulation, UnsupportedScript
 from damsonstream.program.commands import experiment as command
 from damsonstream.program.config import parse_footprint
 from damsonstream.settings import kdl
@@ -59,7 +59,8 @@
     """Returns for how many of three seeds a script keeps its bounds; `case`: script, feature switched off."""
     loaded, off = script.load(str(SCRIPTS / f"{case[0]}.kdl")), frozenset({case[1]} - {""})
     return sum(
-        verdict.evaluate(loaded, off, Emulation(loaded, parse_footprint, off, seed).run(), 0.0).verdict == "kept"
+        verdict.evaluate(loaded, off, Emulation(loaded, parse_footprint, off, seed).run(), 0.0).verdict
+        == "kept"
         for seed in (2, 3, 4)
     )
 
@@ -146,7 +147,9 @@
         """No effect runs twice and no drained node gets a forward, with the baselines too."""
         smoke = script.load(str(SCRIPTS / "smoke.kdl"))
         for name in baselines.ROUTERS:
-            fleet = Emulation(smoke, parse_footprint, frozenset(), 3, make_router=baselines.policy_factory(name, 3))
+            fleet = Emulation(
+                smoke, parse_footprint, frozenset(), 3, make_router=baselines.policy_factory(name, 3)
+            )
             record = fleet.run()
             self.assertEqual((name, record.violations), (name, []))
             self.assertGreater(sum(one.outcome == "returned" for one in record.gets), 500)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -53,7 +53,9 @@
         self.now, self.lines = 1000 * S, list[str]()
         clock = Clock(lambda: self.now * 100_000, lambda: self.now * 100_000)
         self.gateway = Gateway(7, FOOTPRINT, clock)
-        self.gateway.handle_event(i.ListUpdate("full", tuple(entry(name) for name in ["c1", "c2", "p1", "p2", "o"])))
+        self.gateway.handle_event(
+            i.ListUpdate("full", tuple(entry(name) for name in ["c1", "c2", "p1", "p2", "o"]))
+        )
         self.lives = life.GetTasks(self.gateway, self.send)
         self.callbacks: list[ResultCallback] = []
 
@@ -71,7 +73,9 @@
         return get
 
     def describe(self, final: life.FinalAnswer) -> str:
-        return f"{final.outcome} {final.body!r} same={final.not_modified} retry after {final.retry_after_ms} ms"
+        return (
+            f"{final.outcome} {final.body!r} same={final.not_modified} retry after {final.retry_after_ms} ms"
+        )
 
     async def settle(self) -> None:
         for _ in range(8):
@@ -477,7 +481,8 @@
         await bulletin_server.streams[-1].aclose()  # the watch resumes after the last event
         await bulletin_server.wait_until(lambda: len(bulletin_server.hello_numbers) == 2)
         lines.append(
-            f"bulletin asked after {bulletin_server.hello_numbers}, list {sorted(server.cache_connections.pools)}"
+            f"bulletin asked after {bulletin_server.hello_numbers}, "
+            f"list {sorted(server.cache_connections.pools)}"
         )
         os.kill(os.getpid(), signal.SIGTERM)
         last = resp.array(pad_ident("e0"), b"served", b"-", b"e")
@@ -485,7 +490,9 @@
         await fixture.stopped.wait()
         counts = server.counters.counts
         lines += [f"{name} {counts[name]}" for name in sorted(counts) if not name.startswith("cache.")]
-        self.assertFalse(server.gateway.inboxes or server.listener.open_count or server.gateway.router.pending)
+        self.assertFalse(
+            server.gateway.inboxes or server.listener.open_count or server.gateway.router.pending
+        )
         self.check("loopback", [re.sub(r"ms=\d+", "ms=..", line) for line in lines])
 
 
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -14,13 +14,13 @@
 from hypothesis import strategies as st
 
 from damsonstream.incident.accounting import GetLedger, total_verdicts
-from damsonstream.incident.clocks import Clocks, Observation, BootTimes, align, find_steps
-from damsonstream.incident.gather import ListenerGroup, StorySelector, analyze, merge_records, summary
-from damsonstream.incident.phases import SlowFillDetector, PhaseDetector
+from damsonstream.incident.analysis import ListenerGroup, StorySelector, analyze, merge_records, summary
+from damsonstream.incident.clocks import BootTimes, Clocks, Observation, align, find_steps
+from damsonstream.incident.phases import PhaseDetector, SlowFillDetector
 from damsonstream.incident.rules import RuleChecker
 from damsonstream.records import model
-from damsonstream.records.keeper import Limits
 from damsonstream.records.store import Item, Problem
+from damsonstream.records.write_policy import Limits
 from damsonstream.records.writer import Writer
 from damsonstream.report.page import page
 from tests.helpers import TraceCase
@@ -133,7 +133,12 @@
                 s.complete_get(9 * S),
                 s.restart(),
             ),
-            "an answer may be in a gap": lambda s: (s.take(2 * S), s.gap(), s.complete_get(9 * S), s.restart()),
+            "an answer may be in a gap": lambda s: (
+                s.take(2 * S),
+                s.gap(),
+                s.complete_get(9 * S),
+                s.restart(),
+            ),
             "a gap before the GET was accepted hides nothing": lambda s: (
                 s.complete_get(2 * S),
                 s.gap(),
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,12 +14,12 @@
 from damsonstream.console.history import History
 from damsonstream.incident.clocks import Clocks
 from damsonstream.incident.phases import PhaseDetector
-from damsonstream.peers import shares, subsets, turns, wire
-from damsonstream.peers.council import PeerAgent
+from damsonstream.peers import shares, subsets, trials, wire
+from damsonstream.peers.agent import PeerAgent
 from damsonstream.peers.evidence import Evidence, PeerReport, merge
-from damsonstream.peers.members import Membership
-from damsonstream.peers.pieces import FEATURES
-from damsonstream.peers.turns import TrialSchedule
+from damsonstream.peers.features import FEATURES
+from damsonstream.peers.membership import Membership
+from damsonstream.peers.trials import TrialSchedule
 from damsonstream.records import model
 from damsonstream.records.store import Item
 from damsonstream.routing import interface as i
@@ -184,11 +184,11 @@
             [
                 schedule.own_index
                 for schedule in others
-                if schedule.may_try(turns.CLAIM_DURATION, 77, 0, watchers)
+                if schedule.may_try(trials.CLAIM_DURATION, 77, 0, watchers)
             ],
             [],
         )
-        late = turns.CLAIM_DURATION + 2 * turns.ORDER_STEP  # the claimant is silent
+        late = trials.CLAIM_DURATION + 2 * trials.ORDER_STEP  # the claimant is silent
         self.assertIn(sum(schedule.may_try(late, 77, 0, watchers) for schedule in others), (1, 2))
 
     def test_results_count_for_all_and_are_published_once(self) -> None:
@@ -209,8 +209,8 @@
 
     def test_gateways_that_do_not_watch_a_source_try_last(self) -> None:
         schedule = TrialSchedule(7)
-        self.assertFalse(schedule.may_try(3 * turns.ORDER_STEP, 77, 0, [1, 2, 3]))
-        self.assertTrue(schedule.may_try(3 * turns.ORDER_STEP + turns.OUTSIDER_SPREAD, 77, 0, [1, 2, 3]))
+        self.assertFalse(schedule.may_try(3 * trials.ORDER_STEP, 77, 0, [1, 2, 3]))
+        self.assertTrue(schedule.may_try(3 * trials.ORDER_STEP + trials.OUTSIDER_SPREAD, 77, 0, [1, 2, 3]))
 
 
 class MembershipTest(unittest.TestCase):
--- a/tests/test_peers_model.py
+++ b/tests/test_peers_model.py
@@ -16,9 +16,9 @@
 from typing import Any
 from unittest import mock
 
-from damsonstream.peers import shares, turns, wire
+from damsonstream.peers import shares, trials, wire
 from damsonstream.peers.shares import CAP_MILLIONTHS, LEASE_DURATION, Shares
-from damsonstream.peers.turns import TrialSchedule
+from damsonstream.peers.trials import TrialSchedule
 
 STEP = LEASE_DURATION // 3
 Message = tuple[int, int, wire.LeaseRequest | wire.Grant]  # sender, receiver, item
@@ -167,7 +167,7 @@
     """Three gateways whose breakers for one source are Open; time passes in steps, messages arrive or are
     lost."""
 
-    LONG = 12 * turns.ORDER_STEP
+    LONG = 12 * trials.ORDER_STEP
 
     def __init__(self) -> None:
         self.now, self.works = 0, False
@@ -182,13 +182,13 @@
         equal."""
         parts = []
         for one in self.schedules:
-            trial_state = one.states.get(7, turns.TrialState())
+            trial_state = one.states.get(7, trials.TrialState())
             parts.append((
                 trial_state.claimed_by, max(0, min(self.LONG, trial_state.claimed_until - self.now)),
                 min(2, trial_state.successes),
                 min(self.LONG, self.now - trial_state.first_success_at) if trial_state.successes else 0,
             ))  # fmt: skip
-        retry_at = tuple(max(-turns.OUTSIDER_SPREAD, min(self.LONG, at - self.now)) for at in self.retry_at)
+        retry_at = tuple(max(-trials.OUTSIDER_SPREAD, min(self.LONG, at - self.now)) for at in self.retry_at)
         messages = tuple(sorted((to, message.by, message.state) for to, message in self.messages))
         return self.works, tuple(self.closed), tuple(parts), retry_at, messages
 
@@ -200,7 +200,7 @@
         """Returns the state after one step: all messages of the last one arrive, or all are lost; then each
         gateway that may try does so, in order."""
         one = copy.deepcopy(self)
-        one.now, one.works = self.now + turns.ORDER_STEP, works
+        one.now, one.works = self.now + trials.ORDER_STEP, works
         messages, one.messages = one.messages, []
         for to, message in [] if lost else messages:
             _, verdict = one.schedules[to].receive(one.now, message)
@@ -209,7 +209,7 @@
             elif verdict == "good":
                 one.retry_at[to] = one.now
             elif verdict == "bad" and not one.closed[to]:
-                one.retry_at[to] = one.now + 2 * turns.ORDER_STEP
+                one.retry_at[to] = one.now + 2 * trials.ORDER_STEP
         trying = [index for index in range(3) if not one.closed[index] and one.now >= one.retry_at[index]
                   and one.schedules[index].may_try(one.now, 7, one.retry_at[index], [0, 1, 2])]  # fmt: skip
         one.concurrent_trials = len(trying)
@@ -219,9 +219,9 @@
             one.send_to_others(index, one.schedules[index].finish(one.now, 7, wire.ALL_LOCATIONS, 1, works))
             if works:
                 one.retry_at[index] = one.now
-                one.closed[index] = successes + 1 >= turns.SUCCESSES_TO_CLOSE
+                one.closed[index] = successes + 1 >= trials.SUCCESSES_TO_CLOSE
             else:
-                one.retry_at[index] = one.now + 2 * turns.ORDER_STEP
+                one.retry_at[index] = one.now + 2 * trials.ORDER_STEP
         return one
 
 
@@ -281,11 +281,11 @@
             return False, ""
 
         mutations: tuple[tuple[str, Any, Callable[[], bool]], ...] = (
-            ("a claim never ends", mock.patch.object(turns, "CLAIM_DURATION", 1 << 40),
+            ("a claim never ends", mock.patch.object(trials, "CLAIM_DURATION", 1 << 40),
              lambda: count_unclosed(reachable(300)) > 0),
-            ("successes never close", mock.patch.object(turns, "SUCCESSES_TO_CLOSE", 1 << 20),
+            ("successes never close", mock.patch.object(trials, "SUCCESSES_TO_CLOSE", 1 << 20),
              lambda: count_unclosed(reachable(300)) > 0),
-            ("no delay by order", mock.patch.object(turns, "ORDER_STEP", 0), lambda: count_trials()[0] > 2),
+            ("no delay by order", mock.patch.object(trials, "ORDER_STEP", 0), lambda: count_trials()[0] > 2),
             ("all messages ignored", mock.patch.object(TrialSchedule, "receive", ignore),
              lambda: count_trials()[1] > 45),
         )  # fmt: skip
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -18,8 +18,8 @@
 from hypothesis import strategies as st
 
 from damsonstream.records import model, segment
-from damsonstream.records.keeper import Limits, StoredSegment, WritePolicy
-from damsonstream.records.store import Follower, Item, Problem, Reader, segment_files, gateway_folders
+from damsonstream.records.store import Follower, Item, Problem, Reader, gateway_folders, segment_files
+from damsonstream.records.write_policy import Limits, StoredSegment, WritePolicy
 from damsonstream.records.writer import Writer
 from tests.helpers import TraceCase
 
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -15,8 +15,7 @@
 from damsonstream.settings import kdl
 from damsonstream.tiers import draw, load
 from damsonstream.tiers.checks import check, find_cycles, simulate_zone_loss
-from damsonstream.tiers.revisions import HopLimit, Revisions
-from damsonstream.tiers.shape import (
+from damsonstream.tiers.hierarchy import (
     CACHE,
     DEFAULT_RAMP_S,
     HUB,
@@ -27,6 +26,7 @@
     differences,
     topology_of,
 )
+from damsonstream.tiers.revisions import HopLimit, Revisions
 from damsonstream.tiers.shield import BURST_S, SETTLE_S, Shield, worst_case
 from damsonstream.tiers.zones import (
     DOUBT_S,
--- a/tests/test_tiers_model.py
+++ b/tests/test_tiers_model.py
@@ -16,7 +16,7 @@
 from pyModelChecking.CTL import modelcheck
 
 from damsonstream.tiers import zones
-from damsonstream.tiers.shape import Zone
+from damsonstream.tiers.hierarchy import Zone
 from damsonstream.tiers.zones import LOST, RETURNING, TRIAL_SHARE, WELL, ZoneMonitor
 
 STEP_S = 2.0  # seconds; each step has enough forwards to judge every hub
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -23,15 +23,15 @@
 from damsonstream.console.history import History
 from damsonstream.demo import scenario
 from damsonstream.demo.check import Recorded, check
-from damsonstream.demo.play import ExecutedStep, Truth
-from damsonstream.demo.verdict import recorded
-from damsonstream.incident import gather as reading
+from damsonstream.demo.recorded_gets import recorded
+from damsonstream.demo.runner import ExecutedStep, Truth
+from damsonstream.incident import analysis as reading
 from damsonstream.program import cli
 from damsonstream.records import model, segment, store
 from damsonstream.settings import kdl, operator
 from damsonstream.standins.clients import ClientGet
 from tests.helpers import TraceCase
-from tests.test_incident import S, RecordScript, cache_lines
+from tests.test_incident import RecordScript, S, cache_lines
 
 
 def run(*arguments: str) -> tuple[int, str]:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -26,13 +26,13 @@
 from damsonstream.replay.limits import Limits, ReplayRule
 from damsonstream.settings import kdl
 from damsonstream.traces import format as formats
-from damsonstream.traces import order, shape
+from damsonstream.traces import reorder, transforms
 from damsonstream.traces.digest import Digest
 from damsonstream.traces.gets import GET, Batch, Options, fate_name
-from damsonstream.traces.guard import LineSanitizer
-from damsonstream.traces.native import NativeTrace, CorruptTrace, TraceWriter
+from damsonstream.traces.native import CorruptTrace, NativeTrace, TraceWriter
 from damsonstream.traces.reader import TraceReader
 from damsonstream.traces.reuse import ExactReuse, ReuseEstimator
+from damsonstream.traces.sanitizer import LineSanitizer
 from damsonstream.traces.stats import TraceStats
 from tests.helpers import TraceCase
 from tests.test_tools import run
@@ -193,7 +193,7 @@
 
 class TimeOrder(TraceCase):
     def reorder(self, times: list[int], size: int = 1000, **rule: Any) -> tuple[list[int], list[str]]:
-        buffer = order.ReorderBuffer(order.TimeRule(**rule))
+        buffer = reorder.ReorderBuffer(reorder.TimeRule(**rule))
         out: list[int] = []
         fates: list[str] = []
         for at in range(0, len(times), size):
@@ -239,7 +239,9 @@
 
 class Transforms(TraceCase):
     def trace(self, **profile: Any) -> np.ndarray:
-        return np.concatenate(list(shape.generate(shape.TraceProfile(**{"gets": 30_000, **profile}), 5)))
+        return np.concatenate(
+            list(transforms.generate(transforms.TraceProfile(**{"gets": 30_000, **profile}), 5))
+        )
 
     def test_sampled_miss_ratios_are_near_the_exact_ones(self) -> None:
         for alpha in (0.7, 1.3):
@@ -274,17 +276,17 @@
     def test_thinning_scaling_and_anonymization(self) -> None:
         gets = self.trace()
         lines = list[str]()
-        for by in shape.BY:
-            thinning = shape.Thinning(0.25, by)
+        for by in transforms.BY:
+            thinning = transforms.Thinning(0.25, by)
             parts = [thinning.apply(gets[at : at + 999]) for at in range(0, len(gets), 999)]
             kept = np.concatenate(parts)
-            self.assertEqual(kept.tobytes(), shape.Thinning(0.25, by).apply(gets).tobytes())
+            self.assertEqual(kept.tobytes(), transforms.Thinning(0.25, by).apply(gets).tobytes())
             lines.append(f"a quarter by {by}: {len(kept)} GETs, {len(np.unique(kept['object']))} objects, "
                         f"{len(np.unique(kept['client']))} clients")  # fmt: skip
-        fast = shape.Scaling(10).apply(gets)
+        fast = transforms.Scaling(10).apply(gets)
         self.assertEqual((fast["object"] == gets["object"]).all(), True)
         self.assertAlmostEqual(int(fast["time"][-1]) * 10 / int(gets["time"][-1]), 1.0, places=3)
-        one, same, other = (shape.Anonymizer(salt).apply(gets) for salt in (b"a", b"a", b"b"))
+        one, same, other = (transforms.Anonymizer(salt).apply(gets) for salt in (b"a", b"a", b"b"))
         self.assertEqual(one.tobytes(), same.tobytes())
         self.assertFalse(np.isin(one["object"], other["object"]).any())
         self.assertFalse(np.isin(one["object"], gets["object"]).any())
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from damsonstream.tiers.near import BURST_S, GOLDEN_RATIO, SpillPolicy
-from damsonstream.tiers.shape import DEFAULT_RAMP_S, HUB, Node, Topology, Zone, topology_of
-from damsonstream.tiers.verdicts import RANK, RAMP_STEPS, ZoneStatus, ZoneTracker, merge
+from damsonstream.tiers.hierarchy import DEFAULT_RAMP_S, HUB, Node, Topology, Zone, topology_of
+from damsonstream.tiers.spill import BURST_S, GOLDEN_RATIO, SpillPolicy
+from damsonstream.tiers.zone_status import RAMP_STEPS, RANK, ZoneStatus, ZoneTracker, merge
 from damsonstream.tiers.zones import HOLD_S, LOST, RETURNING, WELL
 
 statuses = st.builds(
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -24,7 +24,8 @@
 from damsonstream.settings import kdl
 from damsonstream.tiers import load, loss, plan
 from damsonstream.tiers.checks import check
-from damsonstream.tiers.service import (
+from damsonstream.tiers.hierarchy import CACHE, HUB, VAULT, Node, Topology, Zone, topology_of
+from damsonstream.tiers.selector import (
     FAILURE_RUN,
     SPILL_BUDGET,
     TRIAL_BUDGET,
@@ -33,8 +34,7 @@
     LocalCoordinator,
     SourceSelector,
 )
-from damsonstream.tiers.shape import CACHE, HUB, VAULT, Node, Topology, Zone, topology_of
-from damsonstream.tiers.verdicts import RANK
+from damsonstream.tiers.zone_status import RANK
 from damsonstream.tiers.zones import DOUBT_S, LOST, RETURNING, TRIALS_TO_RETURN, WELL
 from tests.helpers import FOOTPRINT, RouterDriver, S, TraceCase, entry
 
@@ -210,7 +210,9 @@
         other.apply(self.now, moved)
         for service, allowed in ((self.service, {"p1", "p2", "p3", "o"}), (other, {"p1", "o"})):
             for n in range(40):
-                self.assertLessEqual(set(service.eligible_sources(self.now + n * S, "c1", n / 40, ALL)), allowed)
+                self.assertLessEqual(
+                    set(service.eligible_sources(self.now + n * S, "c1", n / 40, ALL)), allowed
+                )
 
     def test_without_limits_the_file_only_sets_the_order(self) -> None:
         plain = SourceSelector(LocalCoordinator(1), 0, self.now, bounded=False)
--- a/tests/test_zones_model.py
+++ b/tests/test_zones_model.py
@@ -21,10 +21,10 @@
 from pyModelChecking import Kripke
 from pyModelChecking.CTL import modelcheck
 
-from damsonstream.tiers import verdicts, zones
-from damsonstream.tiers.near import SpillPolicy
-from damsonstream.tiers.shape import HUB, Node, Zone, topology_of
-from damsonstream.tiers.verdicts import ZoneStatus, ZoneTracker
+from damsonstream.tiers import zone_status, zones
+from damsonstream.tiers.hierarchy import HUB, Node, Zone, topology_of
+from damsonstream.tiers.spill import SpillPolicy
+from damsonstream.tiers.zone_status import ZoneStatus, ZoneTracker
 from damsonstream.tiers.zones import RETURNING, WELL
 
 ZONES = ("north", "south")
@@ -162,7 +162,7 @@
                     since = self.now - self.returned_at[zone, status.epoch]
                     if since < status.step_interval_s(view.ramp) - 1e-9:
                         found.add("ahead")
-                if status.step > verdicts.RAMP_STEPS + 1 or status.epoch > MAX_FAULTS:
+                if status.step > zone_status.RAMP_STEPS + 1 or status.epoch > MAX_FAULTS:
                     found.add("unbounded")
                 if status.epoch:
                     found.add("sent")
@@ -210,7 +210,7 @@
     def setUp(self) -> None:
         patches = ExitStack()
         self.addCleanup(patches.close)
-        for module in (verdicts, zones):
+        for module in (zone_status, zones):
             for name, value in SHORT_TIMES.items():
                 if hasattr(module, name):
                     patches.enter_context(mock.patch.object(module, name, value))
