--- a/damsonstream/program/commands/experiment.py
+++ b/damsonstream/program/commands/experiment.py
@@ -230,7 +230,8 @@
     )
     text = hunt.to_kdl(found.script)
     click.echo(f"{found.evaluated} scripts evaluated; share returned with the peer exchange minus share "
-               f"without: {found.score:+.4f} (before the script was shortened: {found.first_score:+.4f})")  # fmt: skip
+               f"without: {found.score:+.4f} "
+               f"(before the script was shortened: {found.first_score:+.4f})")  # fmt: skip
     click.echo(text, nl=False)
     write_file(out, text)
     return 1 if found.score < -MIN_LOSS_SHARE else 0
--- a/damsonstream/traces/format.py
+++ b/damsonstream/traces/format.py
@@ -92,7 +92,10 @@
 
 
 def parse(name: str, top: kdl.Section) -> Format:
-    """Builds a format from a parsed KDL file. Raises `settings.kdl.KdlError` for invalid or missing fields."""
+    """Builds a format from a parsed KDL file.
+
+    Raises `settings.kdl.KdlError` for invalid or missing fields.
+    """
     about, source = top.text("about", name), top.text("source", "")
     csv = top.section("csv")
     if csv is None:
--- a/damsonstream/virtual/fleet.py
+++ b/damsonstream/virtual/fleet.py
@@ -1,8 +1,8 @@
 """Simulates a fleet of gateways in virtual time, with the sans-I/O modules of `peers` alone: no sockets or
 processes.
 
-Usage: `Fleet(count, seed, ...)`, then `run_until(time)` runs it; `at(when, what)` schedules an event, such as a
-kill. Each gateway has a `PeerAgent`, a clock offset, a demand, and a simplified breaker for each source: five
+Usage: `Fleet(count, seed, ...)`, then `run_until(time)` runs it; `at(when, what)` schedules an event, such as
+a kill. Each gateway has a `PeerAgent`, a clock offset, a demand, and a simplified breaker for each source: five
 failed fills in a row open it, and two successful trials close it. The caller decides when sources are dead.
 All randomness comes from the seed; events at the same time run in the order in which they were scheduled.
 """
