--- a/damsonstream/virtual/fleet.py
+++ b/damsonstream/virtual/fleet.py
@@ -4,7 +4,8 @@
 Usage: `Fleet(count, seed, ...)`, then `run_until(time)` runs it; `at(when, what)` schedules an event, such as
 a kill. Each gateway has a `PeerAgent`, a clock offset, a demand, and a simplified breaker for each source:
 five failed fills in a row open it, and two successful trials close it. The caller decides when sources are
-dead. All randomness comes from the seed; events at the same time run in the order in which they were scheduled.
+dead. All randomness comes from the seed; events at the same time run in the order in which they were
+scheduled.
 """
 
 from __future__ import annotations
