--- a/damsonstream/peers/agent.py
+++ b/damsonstream/peers/agent.py
@@ -1,12 +1,12 @@
 """One gateway's part in the decisions of the fleet: membership, shared evidence, trials, shares of caps, and
 the gossip that carries them. No I/O.
 
-Usage: the router calls `turn` and `part` for decisions, and `asked`, `saw`, `trying`, `tried`, `listed` and
-`anew` to report events (`routing/interface.py`, Fleet). The transport passes each datagram to `receive(now,
-sender, data)`, where `sender` is the index of its source address in the list of peers (negative: not in the
-list), and calls `poll(now)` every GOSSIP_INTERVAL for the datagrams to send. Both return verdicts for the
-router. Times are whole tenths of a millisecond of this gateway's own clock, and are never compared with
-another gateway's clock.
+Usage: the router calls `may_try` and `limit_share` for decisions, and `get_received`, `record_outcome`,
+`trial_started`, `trial_ended`, `nodes_listed` and `node_restarted` to report events (`routing/interface.py`,
+PeerGroup). The transport passes each datagram to `receive(now, sender, data)`, where `sender` is the index of
+its source address in the list of peers (negative: not in the list), and calls `poll(now)` every
+GOSSIP_INTERVAL for the datagrams to send. Both return verdicts for the router. Times are whole tenths of a
+millisecond of this gateway's own clock, and are never compared with another gateway's clock.
 
 Each of `features` can be switched off. Decisions are then made as if no message had ever come.
 """
--- a/damsonstream/peers/evidence.py
+++ b/damsonstream/peers/evidence.py
@@ -42,7 +42,7 @@
 # opened on partial failure yields no more outcomes, so that silence proves nothing. With a longer time, the
 # breaker of a busy gateway would open first.
 FAILING_FOR, FAILURE_RUN = S, 5
-MAX_SOURCES, MAX_REPORTERS = 512, 32  # kept; those heard of last, and per source the latest reports
+MAX_SOURCES, MAX_REPORTERS = 512, 32  # kept: the sources reported last, and per source the latest reports
 REPORT_INTERVAL = S // 2  # between two reports of one gateway on one source
 
 
--- a/damsonstream/routing/router.py
+++ b/damsonstream/routing/router.py
@@ -53,7 +53,7 @@
 COOLDOWN_JITTER = 0.25  # share of the cooldown added at random, so that gateways do not send trials in step
 TRIAL_INTERVAL = S // 2
 TRIALS_TO_CLOSE = 2  # of three trials
-MIN_SHARE, SHARE_DOUBLING_TIME = 0.25, 20 * S  # half of this doubling time works as well
+MIN_SHARE, SHARE_DOUBLING_TIME = 0.25, 20 * S  # least reduced share; time in which it doubles
 
 
 class Breaker:
@@ -483,7 +483,7 @@
 
         While the link is overloaded, a random part of the GETs is admitted.
         """
-        return get.admission_draw * self.link_load() < 1.2  # 2 works as well
+        return get.admission_draw * self.link_load() < 1.2  # the link may be 20% over its capacity
 
     def origin_overload(self) -> float:
         """Returns the estimated overload of the origin, 1: none.
--- a/damsonstream/tiers/selector.py
+++ b/damsonstream/tiers/selector.py
@@ -1,9 +1,10 @@
 """Selects the sources that each fill may use at one gateway, according to the operator's hierarchy. No I/O.
 
-The router calls `has`, `among`, `sent`, `unspent`, `saw` and `turned` (`routing/interface.py`, Tiers). Around
-it, `apply(now, topology)` applies or refuses a revision, `set_node_state(name, state)` records node states
-from the discovery feed (the bulletin), and `tick(now)`, about ten times a second, passes on what this gateway
-observed of each zone. Times are whole tenths of a millisecond.
+The router calls `contains`, `eligible_sources`, `charge_fill`, `refund_fill`, `record_fill` and
+`breaker_changed` (`routing/interface.py`, Hierarchy). Around it, `apply(now, topology)` applies or refuses a
+revision, `set_node_state(name, state)` records node states from the discovery feed (the bulletin), and
+`tick(now)`, about ten times a second, passes on what this gateway observed of each zone. Times are whole
+tenths of a millisecond.
 
 Of the sources that the router could use, those remain that the file lets this cache fill from: first the hubs
 of its own zone, in the router's hash order, if the zone serves the object; then hubs of the zones that it may
@@ -13,7 +14,7 @@
 zone is lost for the whole fleet, all gateways of a location together also probe its hubs with `TRIAL_RATE`
 fills a second; the answers end the loss.
 
-The state of a zone comes from `coordinator`: the fleet's council, or `LocalCoordinator` where gateways
+The state of a zone comes from `coordinator`: the fleet's `PeerAgent`, or `LocalCoordinator` where gateways
 exchange no messages.
 """
 
@@ -183,7 +184,7 @@
             {name: run for name, run in self.failure_runs.items() if name in topology.nodes}
         )
 
-    # called by the router (routing/interface.py, Tiers)
+    # called by the router (routing/interface.py, Hierarchy)
 
     def contains(self, cache: str) -> bool:
         """Returns whether the file states the cache's sources."""
@@ -234,7 +235,7 @@
         return observation.trial_bucket
 
     def charge_fill(self, now: int, cache: str, source: str) -> str:
-        """Charges a fill that is sent; returns the budget that it was charged to, for `unspent`."""
+        """Charges a fill that is sent; returns the budget that it was charged to, for `refund_fill`."""
         cache_node, source_node = self.topology.nodes.get(cache), self.topology.nodes.get(source)
         if cache_node is None or source_node is None:
             return ""
--- a/damsonstream/transport/front.py
+++ b/damsonstream/transport/front.py
@@ -1,8 +1,8 @@
 """The FastCGI listener and its client connections: receives GETs and sends the final answers.
 
 Usage: `ClientListener(...).listen(host, port)` accepts connections. `open_get(request, answer)` is called for
-each GET and returns an object whose `left()` is called if the client disconnects or aborts. Answers are
-buffered per connection, so that a slow client does not block others. The total size of the buffers is
+each GET and returns an object whose `client_left()` is called if the client disconnects or aborts. Answers
+are buffered per connection, so that a slow client does not block others. The total size of the buffers is
 limited: above it, the connections with the most unsent data are closed.
 """
 
